--- a/include/waxwingvale/membership/belief_table.hpp
+++ b/include/waxwingvale/membership/belief_table.hpp
@@ -14,15 +14,15 @@
 
 namespace waxwingvale::membership {
 
-// Word of one backend server as the entry instances tell each other of it.
+// The state of one backend server as entry instances exchange it.
 struct belief_record {
     std::string backend_server;
     std::uint64_t incarnation = 0;
-    // Raised with every turn between dead and not dead, so that all agree on
-    // the last of them without comparing clocks.
+    // Incremented with every change between dead and not dead, so that all
+    // instances agree on the latest change without comparing clocks.
     std::uint64_t version = 0;
     bool dead = false;
-    bool leaving = false; // never taken back within an incarnation
+    bool leaving = false; // never reset within an incarnation
     belief_source source = belief_source::platform_list;
     std::string observer; // entry instance
     time_point since{};
@@ -39,45 +39,52 @@
 
 struct belief_counters {
     std::uint64_t changes = 0;
-    std::uint64_t outdated = 0; // of a former incarnation, or seen too early
-    std::uint64_t over_limit = 0;
+    // Records of an earlier incarnation, and observations that were made before
+    // the one that is recorded.
+    std::uint64_t outdated = 0;
+    std::uint64_t over_limit = 0; // rejected because the table was full
 };
 
-// What is believed of the backend servers: of four signals the earliest wins.
-// Word of an incarnation fences all word of former ones.
+// The state of each backend server as this instance believes it to be, from
+// four signals (see belief_source), of which the one that arrives first takes
+// effect. Once a record of an incarnation is known, records of earlier
+// incarnations are rejected.
 class belief_table {
 public:
-    // Holds at most `limit` backend servers; word of more is not taken.
+    // Holds at most `limit` backend servers; records of others are rejected.
     explicit belief_table(std::size_t limit) : limit_(limit) {}
 
-    // Takes what this entry instance saw, or read in the platform's list.
-    // Incarnation 0 means the one that is known. The platform's list, which
-    // lags, cannot bring a dead backend server back within its incarnation;
-    // an answer on real traffic or to a probe can. Returns whether it changed
-    // anything.
-    bool observe(const backend_belief& seen);
+    // Records what this entry instance observed itself or read in the
+    // platform's list. Incarnation 0 means the incarnation that is known. The
+    // platform's list lags and therefore cannot mark a dead backend server as
+    // serving within its incarnation; an answer to real traffic or to a probe
+    // can. Returns whether the table changed.
+    bool observe(const backend_belief& observation);
 
-    // Takes a peer's word.
-    bool merge(const belief_record& word);
+    // Merges a record from a peer. Returns whether the table changed.
+    bool merge(const belief_record& update);
 
-    // Forgets the backend servers that no configuration names any more and
-    // whose word is older than `keep`.
-    void retain(const std::set<std::string>& named, duration keep,
+    // Removes the backend servers that are not in `configured` and whose
+    // records are at least `keep` old.
+    void retain(const std::set<std::string>& configured, duration keep,
                 time_point now);
 
     const belief_record* find(const std::string& backend_server) const;
     std::vector<belief_record> records() const; // sorted by name
+    // Returns the records that changed since the last call.
     std::vector<belief_record> take_changes();
     std::vector<belief_record> in_buckets(const bucket_set& buckets) const;
     digest_buckets digest() const;
     const belief_counters& counters() const { return counters_; }
 
 private:
-    bool observe_new_life(const backend_belief& seen);
-    bool observe_same_life(belief_record& known, const backend_belief& seen);
-    bool turn(belief_record& known, bool dead, const backend_belief& seen);
+    bool observe_new_incarnation(const backend_belief& observation);
+    bool observe_same_incarnation(belief_record& known,
+                                  const backend_belief& observation);
+    bool set_dead(belief_record& known, bool dead,
+                  const backend_belief& observation);
     bool has_room(const std::string& backend_server);
-    void changed(const std::string& backend_server);
+    void mark_changed(const std::string& backend_server);
 
     std::size_t limit_;
     std::map<std::string, belief_record> records_;
--- a/include/waxwingvale/membership/known_state.hpp
+++ b/include/waxwingvale/membership/known_state.hpp
@@ -9,7 +9,7 @@
 
 namespace waxwingvale::membership {
 
-// All the tables of one entry instance.
+// References to all tables that one entry instance exchanges with its peers.
 struct known_state {
     configuration_register& configurations;
     member_table& members;
--- a/include/waxwingvale/membership/member_record.hpp
+++ b/include/waxwingvale/membership/member_record.hpp
@@ -8,24 +8,24 @@
 
 namespace waxwingvale::membership {
 
-// Whether a member answers, as far as anybody could tell.
+// Whether a member answers, according to the latest reports.
 enum class liveness {
     alive,
-    suspect, // somebody lost it; it has some time to refute
+    suspect, // an instance lost contact; the member can still refute this
     gone
 };
 
-// A member as the entry instances tell each other of it.
+// A member as entry instances exchange it.
 struct member_record {
-    member_id id; // incarnation 0: only read of in the platform's list
+    member_id id; // incarnation 0: known only from the platform's list
     std::string data_centre;
     member_addresses addresses;
     member_capacity capacity;
-    // Raised by the member itself, and nobody else, to overrule word against
-    // it within one incarnation.
+    // Incremented only by the member itself, to override reports by other
+    // members (suspect, gone) within one incarnation.
     std::uint64_t assertion = 0;
     liveness life = liveness::alive;
-    // Stops in an orderly way; never taken back within an incarnation.
+    // The member shuts down gracefully. Never reset within an incarnation.
     bool leaving = false;
 
     friend bool operator==(const member_record& a, const member_record& b) {
@@ -36,8 +36,8 @@
     }
 };
 
-// How a view names what the record says.
-member_state state_of(const member_record& record);
+// The state of a member as published in a view.
+member_state to_member_state(const member_record& record);
 member to_member(const member_record& record);
 
 } // namespace waxwingvale::membership
--- a/include/waxwingvale/membership/member_table.hpp
+++ b/include/waxwingvale/membership/member_table.hpp
@@ -15,24 +15,25 @@
 
 namespace waxwingvale::membership {
 
-// How long silence may last before it has consequences.
+// Time limits for failure detection.
 struct member_timing {
-    // From the first suspicion until the member counts as gone, time in which
-    // it can refute.
+    // A suspect member counts as gone after this time unless it refutes the
+    // suspicion.
     duration suspicion_limit = std::chrono::seconds(3);
-    // A member that was only read of in the platform's list is believed in for
-    // this long without having been heard.
-    duration unheard_limit = std::chrono::seconds(10);
-    // A gone member is remembered for this long, so that late word from
-    // before its end does not bring it back, and so that it is dialed again
-    // when a long partition ends.
+    // A member known only from the platform's list counts as gone after this
+    // time without a message that confirms it.
+    duration unconfirmed_limit = std::chrono::seconds(10);
+    // A gone member is remembered for this long, so that late updates from
+    // before its end do not restore it, and so that instances connect to it
+    // again when a long network partition ends.
     duration forget_after = std::chrono::hours(3);
-    // After its start a process may still raise its incarnation above one
-    // heard for its own name; later it stands down instead.
-    duration settling = std::chrono::seconds(10);
+    // Within this time after its start a process that learns of a later
+    // incarnation under its own name raises its own above that one. After it
+    // the process considers itself replaced.
+    duration startup_period = std::chrono::seconds(10);
 };
 
-// Decides which of two records of one member and incarnation is the later.
+// Decides which of two records of one member is the later one.
 class member_precedence {
 public:
     virtual ~member_precedence() = default;
@@ -40,63 +41,67 @@
                             const member_record& known) const = 0;
 };
 
-// The rule in use: the later incarnation, then the larger assertion, which
-// only the member itself raises, then the worse word.
+// The rule in production: the later incarnation wins, then the larger assertion
+// number (which only the member itself increments), then the worse liveness.
 class latest_assertion_wins : public member_precedence {
 public:
     bool supersedes(const member_record& candidate,
                     const member_record& known) const override;
 };
 
-// Who the entry instances are, as one of them knows it: its own word, its
-// peers', and the platform's list, which may lag, be empty or be old and
-// therefore adds but never removes.
+// The members (entry instances) that one instance knows of, from itself, its
+// peers and the platform's list. That list may lag, be empty or be outdated;
+// therefore it adds members but never removes any.
 class member_table {
 public:
     member_table(member_record self, member_timing timing, time_point now);
     member_table(member_record self, member_timing timing, time_point now,
                  std::shared_ptr<const member_precedence> precedence);
 
-    // Takes a peer's word. Word against this member itself is refuted: its
-    // record is asserted anew. Returns whether anything changed.
-    bool merge(const member_record& word, time_point now);
+    // Merges a record from a peer. A record that reports this member itself as
+    // suspect or gone is refuted: this member's assertion number is raised
+    // above it. Returns whether the table changed.
+    bool merge(const member_record& update, time_point now);
 
-    // This process has lost the member: it becomes suspect, unless worse is
-    // known.
+    // Marks a member with which this process lost contact as suspect, unless it
+    // is already suspect or gone. Returns whether the table changed.
     bool accuse(const std::string& name, time_point now);
 
-    bool take_platform_list(const std::vector<listed_member>& list,
-                            time_point now);
+    // Adds the members of the platform's list and applies its leaving marks.
+    // Returns whether the table changed.
+    bool apply_platform_list(const std::vector<listed_member>& list,
+                             time_point now);
 
-    // Ends suspicions that have run out and forgets those long gone.
+    // Marks members whose suspicion limit has passed as gone and removes those
+    // that have been gone for long. Returns whether the table changed.
     bool tick(time_point now);
 
-    // The process was stopped and could not hear refutations: suspicions run
-    // anew from here.
+    // Restarts the suspicion limit of all members. Called when the process was
+    // suspended and could not receive refutations meanwhile.
     void restart_suspicions(time_point now);
 
-    // This member's own changes. Its incarnation is 0, and nobody is told of
-    // it, until its entry process has named one. A proposal that is not above
-    // all that was heard for the own name is raised, unless it goes on with
-    // the life that was heard.
+    // Changes to this member's own record. Its incarnation is 0, and the record
+    // is not sent to peers, until its entry process has proposed an
+    // incarnation. A proposal that is not above every incarnation that peers
+    // reported for this name is raised, unless it continues the reported one.
     bool start_life(std::uint64_t proposed);
-    bool leave();                   // stops in an orderly way
-    bool set_serving(bool serving); // entry answers or does not
-    // Another process with this name started later: this one has been
-    // replaced and owns nothing.
+    bool leave();                   // marks a graceful shutdown
+    bool set_serving(bool serving); // whether the entry process answers
+    // Whether another process with this name started later, so that this one
+    // was replaced and owns nothing.
     bool replaced() const { return replaced_; }
 
-    const member_record& self() const { return entries_.at(self_).record; }
+    const member_record& self() const { return entries_.at(self_name_).record; }
     const member_record* find(const std::string& name) const;
-    // All that are known, for views; sorted by id.
+    // All known members, for views; sorted by id.
     std::vector<member> members() const;
-    // Rises whenever anything that members() tells may have changed.
+    // Incremented whenever the result of members() may have changed.
     std::uint64_t version() const { return version_; }
-    // How many are not gone, this one included.
+    // The number of members that are not gone, this one included.
     std::size_t present() const;
-    // Records that were changed since the last call, for passing on.
+    // Returns the records that changed since the last call, to send to peers.
     std::vector<member_record> take_changes();
-    // Records heard of by word, whose name falls into the bucket.
+    // Records with a known incarnation whose names fall into the buckets.
     std::vector<member_record> in_buckets(const bucket_set& buckets) const;
     digest_buckets digest() const;
     std::uint64_t refutations() const { return refutations_; }
@@ -104,27 +109,29 @@
 private:
     struct entry {
         member_record record;
-        time_point suspected{};
-        time_point gone{};
-        time_point listed_first{};
+        time_point suspected_at{};
+        time_point gone_at{};
+        time_point first_listed_at{};
         bool listed = false;
-        // The list called this incarnation leaving; a later one is not meant.
-        std::optional<std::uint64_t> listed_leaving;
+        // The incarnation that the platform's list marked as leaving. The mark
+        // does not apply to later incarnations.
+        std::optional<std::uint64_t> listed_leaving_incarnation;
     };
 
-    bool merge_self(const member_record& word, time_point now);
-    bool hear_other_life(const member_record& word, time_point now);
-    bool refute(const member_record& word);
-    bool adopt(entry& known, const member_record& word, time_point now);
-    void set_life(entry& known, liveness life, time_point now);
-    void retire_former_at(const member_record& word, time_point now);
-    bool take_listed(const listed_member& listed, time_point now);
+    bool merge_self(const member_record& update, time_point now);
+    bool handle_other_incarnation(const member_record& update, time_point now);
+    bool refute(const member_record& update);
+    bool adopt(entry& known, const member_record& update, time_point now);
+    void set_liveness(entry& known, liveness life, time_point now);
+    void retire_previous_at_address(const member_record& update,
+                                    time_point now);
+    bool apply_listed(const listed_member& listed, time_point now);
     bool apply_listed_leaving(entry& known);
-    entry& self_entry() { return entries_.at(self_); }
+    entry& self_entry() { return entries_.at(self_name_); }
     void assert_self();
     void mark_changed(const std::string& name);
 
-    std::string self_;
+    std::string self_name_;
     member_timing timing_;
     time_point started_;
     std::shared_ptr<const member_precedence> precedence_;
@@ -132,7 +139,8 @@
     std::vector<std::string> changed_;
     bool replaced_ = false;
     bool list_seen_ = false;
-    member_record heard_self_; // the latest word of this name from others
+    // The latest incarnation of this name that peers reported.
+    member_record self_from_peers_;
     std::uint64_t refutations_ = 0;
     std::uint64_t version_ = 0;
 };
--- a/include/waxwingvale/membership/platform_list.hpp
+++ b/include/waxwingvale/membership/platform_list.hpp
@@ -9,7 +9,7 @@
 
 namespace waxwingvale::membership {
 
-// An entry instance as the platform's list names it. The list knows of no
+// An entry instance as listed by the platform. The platform does not know the
 // incarnations of entry instances.
 struct listed_member {
     std::string name;
@@ -18,14 +18,14 @@
     bool leaving = false;
 };
 
-// A backend server as the platform's list names it.
+// A backend server as listed by the platform.
 struct listed_backend_server {
     std::string name;
-    std::uint64_t incarnation = 0; // 0: not told
+    std::uint64_t incarnation = 0; // 0: unknown
     bool leaving = false;
 };
 
-// One reading of the platform's list of instances.
+// The platform's list of instances at one revision.
 struct platform_list {
     std::uint64_t revision = 0;
     std::vector<listed_member> members;
--- a/include/waxwingvale/membership/quarantine_table.hpp
+++ b/include/waxwingvale/membership/quarantine_table.hpp
@@ -12,7 +12,8 @@
 
 namespace waxwingvale::membership {
 
-// A request's fingerprint that is refused everywhere.
+// A request fingerprint in quarantine: all entry instances refuse requests that
+// have it.
 struct quarantine_record {
     std::uint64_t fingerprint = 0;
     std::string observer; // entry instance
@@ -25,12 +26,13 @@
     }
 };
 
-// A backend server died with the request in flight.
+// The death of a backend server while a request with this fingerprint was in
+// flight there.
 struct death_record {
     std::uint64_t fingerprint = 0;
     std::string backend_server;
     std::uint64_t incarnation = 0; // of the backend server
-    bool alone = false;            // nothing else was in flight there
+    bool alone = false;            // no other request was in flight there
     time_point since{};
 
     friend bool operator==(const death_record& a, const death_record& b) {
@@ -40,7 +42,7 @@
     }
 };
 
-// How much is remembered, and for how long.
+// Capacity and lifetime of the table's records.
 struct quarantine_limits {
     std::size_t fingerprints = 4096;
     std::size_t deaths = 4096;
@@ -49,21 +51,22 @@
 
 struct quarantine_counters {
     std::uint64_t added = 0;
-    std::uint64_t evicted = 0; // the oldest, when the limit was reached
+    std::uint64_t evicted = 0; // oldest records, removed from a full table
     std::uint64_t expired = 0;
 };
 
-// Requests that crash the backend servers that run them. A caller whose
-// request was lost sends it again, perhaps to another entry instance; deaths
-// are therefore counted together. Two deaths of different backend servers or
-// incarnations, at least one of which nothing else can have caused, put the
-// fingerprint into quarantine: a request that only happened to be there twice
-// is not condemned.
+// Fingerprints of requests that crash the backend servers that run them. A
+// caller whose request was lost sends it again, perhaps to another entry
+// instance; therefore all instances count deaths together. A fingerprint is
+// quarantined after two deaths of different backend servers or incarnations, if
+// in at least one of them no other request was in flight. A request that was
+// merely in flight during two crashes is not quarantined.
 class quarantine_table {
 public:
     explicit quarantine_table(quarantine_limits limits) : limits_(limits) {}
 
-    // Each returns whether anything changed.
+    // Each function returns whether the table changed. A verdict puts a
+    // fingerprint into quarantine.
     bool add_verdict(const quarantine_record& verdict);
     bool add_death(const death_record& death);
     bool expire(time_point now);
@@ -76,12 +79,12 @@
     std::vector<death_record> deaths() const;
     std::vector<quarantine_record> take_new_verdicts();
     std::vector<death_record> take_new_deaths();
-    // One number over all verdicts, to compare two tables by.
+    // A hash over all verdicts, to compare two tables.
     std::uint64_t digest() const;
     const quarantine_counters& counters() const { return counters_; }
 
 private:
-    void convict_if_proven(const death_record& latest);
+    void quarantine_if_confirmed(const death_record& latest);
     void evict_oldest_verdict();
 
     quarantine_limits limits_;
--- a/include/waxwingvale/membership/reader_duty.hpp
+++ b/include/waxwingvale/membership/reader_duty.hpp
@@ -10,72 +10,81 @@
 
 namespace waxwingvale::membership {
 
-// How long word of the platform may be old, and how readers take turns.
+// How stale an instance's knowledge of the platform may become, and how quickly
+// other instances take over from a reader that failed.
 struct reader_timing {
-    // Word older than this makes an instance read for itself. A drain that the
-    // platform has accepted must be obeyed everywhere after 2 s; this leaves
-    // the rest for reading and passing on.
+    // An instance whose knowledge is older than this reads the platform itself.
+    // A drain that the platform has accepted must be obeyed everywhere after
+    // 2 s; the remaining time is for reading and for passing updates on.
     duration stale_after = std::chrono::milliseconds(900);
-    // Each place further down the order waits so much longer, so that a reader
-    // that was lost is followed by one and not by all,
-    duration step = std::chrono::milliseconds(40);
-    // but no longer than this.
-    duration step_limit = std::chrono::milliseconds(400);
-    // Whoever took over goes on this long after it hears again of one that
-    // comes before it.
-    duration relief = std::chrono::seconds(3);
-    // One that has just started hears within this what its peers have read, and
-    // who they are: until then each would be the first of all it knows.
-    duration introduction = std::chrono::milliseconds(500);
+    // Before taking over, each instance waits this much longer per rank, so
+    // that one instance replaces a failed reader and not all of them.
+    duration rank_delay = std::chrono::milliseconds(40);
+    // Upper limit of the delay by rank.
+    duration max_rank_delay = std::chrono::milliseconds(400);
+    // An instance that took over continues for this long after it learns again
+    // of reads by an instance of lower rank.
+    duration takeover_hold = std::chrono::seconds(3);
+    // An instance that has just started does not read for this long, the time
+    // in which its peers tell it who they are and what they have read. Until
+    // then each instance would have the lowest rank of all that it knows.
+    duration startup_wait = std::chrono::milliseconds(500);
 };
 
-// Decides whether this instance is to read the platform for all. Every read is
-// paid for, also by the platform itself, so few do; the others hear of what
-// they read from their peers. Pure.
+// Decides whether this instance reads the platform on behalf of all instances.
+// Every read is paid for, and costs the platform resources, so only a few
+// instances read; the others learn from their peers what was read. The class
+// does no I/O, and the time is passed to it.
 class reader_duty {
 public:
-    // Without peers to expect an instance reads at once.
+    // `readers` is how many instances read while all is well; 0 means that
+    // every instance reads for itself. An instance that expects no peers reads
+    // at once.
     reader_duty(std::string self, unsigned readers, bool expects_peers,
                 reader_timing timing, time_point now);
 
     void take_members(const std::vector<member>& members);
-    // Somebody, or this instance, knew the platform's state of so long ago.
-    // Returns whether that is newer than all word before.
+    // Records that `reader`, which may be this instance, knew the platform's
+    // state of `age` ago. Returns whether that is newer than everything
+    // recorded before.
     bool hear(const std::string& reader, duration age, time_point now);
 
     bool should_read(time_point now);
-    // What should_read() said last.
+    // The latest result of should_read().
     bool reads() const { return reads_; }
 
-    // Who reads while all is well; empty when each reads for itself.
+    // The instances that read while all is well; empty if every instance reads
+    // for itself.
     std::vector<std::string> readers() const;
-    // How many come before this instance in the order of readers.
-    std::size_t place() const { return place_; }
-    // How old the newest word is.
-    duration age(time_point now) const { return now - verified_; }
+    // The position of this instance in the order of readers, from 0.
+    std::size_t rank() const { return rank_; }
+    // The age of the newest known state of the platform.
+    duration age(time_point now) const { return now - known_as_of_; }
     const std::string& newest_reader() const { return newest_reader_; }
 
 private:
     bool decide(time_point now);
     bool is_reader(const std::string& name) const;
-    bool comes_before_self(const std::string& name) const;
+    bool precedes_self(const std::string& name) const;
 
     std::string self_;
     unsigned readers_;
     reader_timing timing_;
-    std::vector<std::string> order_; // of all that may read
-    std::size_t place_ = 0;          // of this instance in it
-    time_point introduced_at_;       // at the latest
-    time_point verified_;
+    std::vector<std::string> order_; // of all instances that may read
+    std::size_t rank_ = 0;           // of this instance in order_
+    time_point startup_wait_ends_;
+    time_point known_as_of_; // time of the newest known platform state
     std::string newest_reader_;
     bool reads_;
-    std::optional<time_point> took_over_;
-    time_point relieved_{}; // heard of one that comes earlier
-    time_point read_at_{};  // by this instance
+    std::optional<time_point> took_over_at_;
+    // When this instance last learned of a read by an instance of lower rank.
+    time_point lower_rank_read_at_{};
+    time_point own_read_at_{};
 };
 
-// The order in which instances become readers: strong machines first, from one
-// data centre after another, then by a hash, so that all agree on it.
+// The order in which instances become readers. It takes one instance of each
+// data centre in turn, within a turn those with more processor capacity first,
+// and orders equal ones by a hash, so that all instances agree on it.
 std::vector<std::string> reader_order(const std::vector<member>& members);
 
 } // namespace waxwingvale::membership
--- a/include/waxwingvale/membership/registry_table.hpp
+++ b/include/waxwingvale/membership/registry_table.hpp
@@ -15,16 +15,18 @@
 
 namespace waxwingvale::membership {
 
-// A backend server as it has registered itself with the platform.
+// A backend server's registration with the platform.
 struct registered_backend {
     std::string service;
-    std::string host; // IP number
+    std::string host; // IP address
     std::uint16_t port = 0;
     std::string data_centre;
     std::string version; // of its software
     unsigned slots = 1;
     bool leaving = false;
-    duration cold_for{}; // slower than usual for so long, when it was written
+    // How much longer the server was expected to be slower than usual, at the
+    // time of the registration.
+    duration cold_for{};
     backend_incarnation incarnation = 0;
 
     friend bool operator==(const registered_backend& a,
@@ -36,21 +38,23 @@
     }
 };
 
-// What a record of the registry is about.
+// What a registry record describes.
 enum class registry_subject {
     backend_server,
-    evacuation // of a data centre: nothing may be sent to its servers
+    evacuation // of a data centre: its servers must not receive requests
 };
 
-// What the platform last said of one of them, as the entry instances tell
-// each other of it. Of an evacuation the entry has the data centre only.
+// The latest known state of a registration or an evacuation on the platform, as
+// entry instances exchange it. For an evacuation only the data centre of
+// `entry` is set.
 struct registry_record {
     std::string name;           // unique over both subjects
     std::uint64_t revision = 0; // of the platform, at the last change
-    bool present = true;        // false: its entry is gone
+    bool present = true;        // false: removed from the platform
     registered_backend entry;
     registry_subject subject = registry_subject::backend_server;
-    time_point taken_at{}; // into this instance's table; not compared
+    // When this instance's table received the record; not compared.
+    time_point received_at{};
 
     friend bool operator==(const registry_record& a, const registry_record& b) {
         return std::tie(a.name, a.revision, a.present, a.entry, a.subject) ==
@@ -59,58 +63,61 @@
 };
 
 // The record that orders the evacuation of a data centre.
-registry_record evacuation_record(const std::string& data_centre,
-                                  std::uint64_t revision);
+registry_record make_evacuation_record(const std::string& data_centre,
+                                       std::uint64_t revision);
 
-// The backend servers that have registered themselves, and the evacuations that
-// are ordered. The platform's revision orders all word of one of them, whoever
-// brings it and however late.
+// The registered backend servers and the evacuations in force. Records of one
+// name are ordered by the platform's revision, whichever peer sends them and
+// however late they arrive.
 class registry_table {
 public:
-    // Holds at most `limit` records; word of more is not taken.
+    // Holds at most `limit` records; further backend servers are rejected.
+    // Evacuations are accepted regardless of the limit.
     explicit registry_table(std::size_t limit) : limit_(limit) {}
 
-    // Takes the word if it is newer. Returns whether it changed anything.
-    bool merge(const registry_record& word, time_point now);
-
-    // Takes the whole list that the platform had at a revision: what it does
-    // not name is gone.
-    void take_list(const std::vector<registry_record>& list,
-                   std::uint64_t revision, time_point now);
-    // Takes a change that the platform told.
-    void take_change(const registry_record& change, time_point now);
-
-    // The platform does not answer this instance any more. `last_answer` is the
-    // last of which it knows, to whomever.
-    void platform_lost(time_point last_answer);
-    // It answered somebody else. That ends an absence; and there was none if
-    // such answers followed each other all the while.
+    // Applies the record if it is newer. Returns whether the table changed.
+    bool merge(const registry_record& update, time_point now);
+
+    // Applies the platform's complete list at a revision: records that are not
+    // in the list are removed.
+    void apply_list(const std::vector<registry_record>& list,
+                    std::uint64_t revision, time_point now);
+    // Applies a single change reported by the platform.
+    void apply_change(const registry_record& change, time_point now);
+
+    // Records that the platform stopped answering this instance. `last_answer`
+    // is the time of its last known answer to any instance.
+    void mark_platform_unreachable(time_point last_answer);
+    // Records that the platform answered another instance. This ends an outage.
+    // If such answers followed each other without a long gap, there was no
+    // outage.
     void platform_answered_other(time_point when);
-    // The platform was away until now. In an absence of some length entries
-    // of living servers lapse. They come back within a while; until
-    // then what is missing in a list, or said to be gone, stays. Without this
-    // an outage of the platform would take every backend server from callers
-    // for that while. Only time in which the platform answers counts, up to a
-    // bound, and a further return does not prolong what is held already.
-    void platform_returned(time_point now);
-    // Carries out removals that were held and were not taken back, and forgets
-    // those of long ago.
-    // Returns whether anything has changed.
+    // Records that the platform answers this instance again. During a long
+    // outage the registrations of live servers expire, and these servers
+    // register again soon after it. Until then removals, from a list or a
+    // single change, are held back. Otherwise an outage of the platform would
+    // make every backend server unavailable to callers for that time. Only time
+    // in which the platform answers counts towards the hold, up to a limit, and
+    // a further outage does not prolong holds that are already running.
+    void mark_platform_reachable(time_point now);
+    // Applies held removals that are due and were not revoked, and forgets old
+    // removals. Returns whether the table changed.
     bool tick(time_point now);
 
-    // The evacuations in force, sorted by data centre, each since this
-    // instance has known of it.
+    // The evacuations in force, sorted by data centre, each with the time since
+    // which this instance has known of it.
     std::vector<evacuation> evacuations() const;
-    // Those that are there, sorted by name.
+    // The records that are present, sorted by name.
     const std::map<std::string, registry_record>& records() const {
         return records_;
     }
+    // Returns the records that changed since the last call, removals included.
     std::vector<registry_record> take_changes();
     std::vector<registry_record> in_buckets(const bucket_set& buckets) const;
     digest_buckets digest() const;
-    // One number over all that are there.
+    // A hash over all records that are present.
     std::uint64_t fingerprint() const { return fingerprint_; }
-    // Rises with every change.
+    // Incremented with every change.
     std::uint64_t version() const { return version_; }
 
 private:
@@ -118,32 +125,33 @@
         std::uint64_t revision = 0;
         time_point since{};
     };
-    // `until` is counted in time that the platform has answered.
+    // `until` is a value of answering_time().
     struct held_removal {
         std::uint64_t revision = 0;
         duration until{};
         time_point since{};
     };
 
-    // How long the platform has answered since it was first lost.
-    duration answered(time_point now) const;
+    // The total time for which the platform has answered this instance.
+    duration answering_time(time_point now) const;
     void remove(const std::string& name, std::uint64_t revision,
                 time_point now);
-    void changed(const std::string& name);
+    void mark_changed(const std::string& name);
     bool is_evacuation(const std::string& name) const;
 
     std::size_t limit_;
     std::map<std::string, registry_record> records_;
     std::map<std::string, removal> removed_;
-    std::map<std::string, held_removal> held_;      // not yet carried out
+    std::map<std::string, held_removal> held_;      // not yet applied
     std::map<std::string, evacuation> evacuations_; // by record name
-    duration answered_before_{};
-    std::optional<time_point> answers_since_;
-    time_point lost_{};
-    duration hold_until_{}; // of removals that are said from now on
-    // When others were answered again after an absence, until lapsed entries
-    // are back.
-    std::optional<time_point> returned_to_others_;
+    duration earlier_answering_time_{};             // before answering_since_
+    std::optional<time_point> answering_since_;
+    time_point last_answer_at_{};
+    // The value of answering_time() until which new removals are held.
+    duration hold_until_{};
+    // When the platform answered an instance again after an outage; reset when
+    // expired registrations have had time to be renewed.
+    std::optional<time_point> outage_ended_at_;
     std::set<std::string> changed_;
     std::uint64_t fingerprint_ = 0;
     std::uint64_t version_ = 0;
--- a/src/control/control_service.cpp
+++ b/src/control/control_service.cpp
@@ -144,12 +144,12 @@
     peers_.set_platform_answers(answers);
     if (!answers) {
         platform_failed_ = true;
-        known_.registry.platform_lost(last_word(now));
+        known_.registry.mark_platform_unreachable(last_word(now));
         program::log_warning("platform_lost", {{"error", to_string(why)}});
         return;
     }
     if (platform_failed_) {
-        known_.registry.platform_returned(now);
+        known_.registry.mark_platform_reachable(now);
     }
     platform_failed_ = false;
     program::log_change("platform_answers");
@@ -182,7 +182,7 @@
         std::visit([this](const auto& typed) { take(typed); }, fact);
     }
     if (reading.whole && published_.lists_backend_servers(reading.topic)) {
-        known_.registry.take_list(read.listed, reading.revision, now);
+        known_.registry.apply_list(read.listed, reading.revision, now);
     }
 }
 
@@ -203,12 +203,12 @@
 }
 
 void control_service::take(const membership::registry_record& record) {
-    known_.registry.take_change(record, environment_.timers.now());
+    known_.registry.apply_change(record, environment_.timers.now());
 }
 
 void control_service::take(const membership::platform_list& list) {
     const auto now = environment_.timers.now();
-    known_.members.take_platform_list(list.members, now);
+    known_.members.apply_platform_list(list.members, now);
     for (const auto& each : list.backend_servers) {
         known_.beliefs.observe(
             {each.name, each.incarnation,
@@ -276,9 +276,9 @@
     members_followed_ = known_.members.version();
     const auto members = known_.members.members();
     known_.readers.take_members(members);
-    platform_.set_share(
-        membership::share_of(environment_.settings.platform.reads_per_second,
-                             members.size(), known_.readers.place()));
+    platform_.set_share(membership::read_share_for(
+        environment_.settings.platform.reads_per_second, members.size(),
+        known_.readers.rank()));
 }
 
 void control_service::follow_reader_duty(time_point now) {
@@ -294,7 +294,7 @@
                                             std::chrono::milliseconds(1))}});
         if (platform_failed_) {
             // Others have read it since.
-            known_.registry.platform_lost(last_word(now));
+            known_.registry.mark_platform_unreachable(last_word(now));
         }
         platform_.resume();
     } else {
--- a/src/control/view_publisher.cpp
+++ b/src/control/view_publisher.cpp
@@ -36,7 +36,7 @@
     made.slots = record.entry.slots;
     made.connections = of.connections;
     if (record.entry.cold_for > duration::zero()) {
-        made.cold_until = record.taken_at + record.entry.cold_for;
+        made.cold_until = record.received_at + record.entry.cold_for;
     }
     made.incarnation = record.entry.incarnation;
     return made;
--- a/src/io/exchange_codec.cpp
+++ b/src/io/exchange_codec.cpp
@@ -76,7 +76,8 @@
 
 // How much longer it is cold, as far as is known by now.
 duration cold_left(const registry_record& of, time_point now) {
-    return std::max(of.entry.cold_for - (now - of.taken_at), duration::zero());
+    return std::max(of.entry.cold_for - (now - of.received_at),
+                    duration::zero());
 }
 
 json write(const registry_record& value, time_point now) {
--- a/src/io/platform_client.cpp
+++ b/src/io/platform_client.cpp
@@ -115,7 +115,7 @@
         read_when_allowed(name, duration::zero());
         return;
     }
-    budget_.take(timers_.now());
+    budget_.consume_token(timers_.now());
     ++counters_.reads;
     http_call call;
     call.host = options_.host;
@@ -261,7 +261,7 @@
     // page, a long list might never end.
     auto& topic = topics_.at(name);
     topic.listed = false;
-    if (budget_.failures_in_row() > most_failures_in_list) {
+    if (budget_.consecutive_failures() > most_failures_in_list) {
         topic.pages.clear();
     }
     topic.again = topic.again && !topic.pages.empty();
--- a/src/membership/belief_table.cpp
+++ b/src/membership/belief_table.cpp
@@ -7,27 +7,27 @@
 
 namespace {
 
-// Observer, source and moment are left out: two instances that saw the same
-// thing at once have no difference to settle.
+// Observer, source and time are not hashed: if two instances observe the same
+// change independently, their records need no reconciliation.
 std::uint64_t hash_of(const belief_record& record) {
     auto hash =
         decision::stable_hash(record.backend_server, record.incarnation);
     hash = decision::combine_hashes(hash, record.version);
-    const std::uint64_t word =
+    const std::uint64_t state_bits =
         (record.dead ? 2U : 0U) + (record.leaving ? 1U : 0U);
-    return decision::combine_hashes(hash, word);
+    return decision::combine_hashes(hash, state_bits);
 }
 
-bool is_own_evidence_of_life(const backend_belief& seen) {
-    return seen.state != backend_state::dead &&
-           (seen.source == belief_source::traffic ||
-            seen.source == belief_source::probe);
+bool is_direct_evidence_of_life(const backend_belief& observation) {
+    return observation.state != backend_state::dead &&
+           (observation.source == belief_source::traffic ||
+            observation.source == belief_source::probe);
 }
 
-void sign(belief_record& record, const backend_belief& seen) {
-    record.source = seen.source;
-    record.observer = seen.observer;
-    record.since = seen.since;
+void set_observation(belief_record& record, const backend_belief& observation) {
+    record.source = observation.source;
+    record.observer = observation.observer;
+    record.since = observation.since;
 }
 
 } // namespace
@@ -43,105 +43,105 @@
             record.source,         record.observer,    record.since};
 }
 
-bool belief_table::observe(const backend_belief& seen) {
-    const auto found = records_.find(seen.backend_server);
+bool belief_table::observe(const backend_belief& observation) {
+    const auto found = records_.find(observation.backend_server);
     if (found == records_.end() ||
-        seen.incarnation > found->second.incarnation) {
-        return observe_new_life(seen);
+        observation.incarnation > found->second.incarnation) {
+        return observe_new_incarnation(observation);
     }
-    if (is_of_former(seen.incarnation, found->second.incarnation)) {
+    if (is_of_former(observation.incarnation, found->second.incarnation)) {
         ++counters_.outdated;
         return false;
     }
-    return observe_same_life(found->second, seen);
+    return observe_same_incarnation(found->second, observation);
 }
 
-bool belief_table::observe_new_life(const backend_belief& seen) {
-    if (!has_room(seen.backend_server)) {
+bool belief_table::observe_new_incarnation(const backend_belief& observation) {
+    if (!has_room(observation.backend_server)) {
         return false;
     }
     belief_record record;
-    record.backend_server = seen.backend_server;
-    record.incarnation = seen.incarnation;
-    record.dead = seen.state == backend_state::dead;
-    record.leaving = seen.state == backend_state::leaving;
-    sign(record, seen);
-    records_[seen.backend_server] = std::move(record);
-    changed(seen.backend_server);
+    record.backend_server = observation.backend_server;
+    record.incarnation = observation.incarnation;
+    record.dead = observation.state == backend_state::dead;
+    record.leaving = observation.state == backend_state::leaving;
+    set_observation(record, observation);
+    records_[observation.backend_server] = std::move(record);
+    mark_changed(observation.backend_server);
     return true;
 }
 
-bool belief_table::observe_same_life(belief_record& known,
-                                     const backend_belief& seen) {
+bool belief_table::observe_same_incarnation(belief_record& known,
+                                            const backend_belief& observation) {
     bool differs = false;
-    if (seen.state == backend_state::leaving && !known.leaving) {
+    if (observation.state == backend_state::leaving && !known.leaving) {
         known.leaving = true;
-        sign(known, seen);
+        set_observation(known, observation);
         differs = true;
     }
-    if (seen.state == backend_state::dead && !known.dead) {
-        differs = turn(known, true, seen) || differs;
-    } else if (known.dead && is_own_evidence_of_life(seen)) {
-        differs = turn(known, false, seen) || differs;
+    if (observation.state == backend_state::dead && !known.dead) {
+        differs = set_dead(known, true, observation) || differs;
+    } else if (known.dead && is_direct_evidence_of_life(observation)) {
+        differs = set_dead(known, false, observation) || differs;
     }
     if (differs) {
-        changed(known.backend_server);
+        mark_changed(known.backend_server);
     }
     return differs;
 }
 
-// An answer that was under way when the backend server died says nothing
-// about it now, and a refusal from before it answered nothing either; both
-// show as seen before what is known was. The platform's list is no such
-// sight.
-bool belief_table::turn(belief_record& known, bool dead,
-                        const backend_belief& seen) {
-    const bool known_by_sight =
+// Ignores observations that are older than the recorded one: an answer that was
+// in flight when the backend server died, or a refusal from before it answered,
+// says nothing about its present state. A serving state that is known only from
+// the platform's list is not an observation and does not outdate others.
+bool belief_table::set_dead(belief_record& known, bool dead,
+                            const backend_belief& observation) {
+    const bool known_by_observation =
         known.dead || known.source != belief_source::platform_list;
-    if (known_by_sight && seen.since < known.since) {
+    if (known_by_observation && observation.since < known.since) {
         ++counters_.outdated;
         return false;
     }
     known.dead = dead;
     ++known.version;
-    sign(known, seen);
+    set_observation(known, observation);
     return true;
 }
 
-bool belief_table::merge(const belief_record& word) {
-    const auto found = records_.find(word.backend_server);
-    const bool new_life =
-        found == records_.end() || word.incarnation > found->second.incarnation;
-    if (new_life) {
-        if (!has_room(word.backend_server)) {
+bool belief_table::merge(const belief_record& update) {
+    const auto found = records_.find(update.backend_server);
+    const bool new_incarnation = found == records_.end() ||
+                                 update.incarnation > found->second.incarnation;
+    if (new_incarnation) {
+        if (!has_room(update.backend_server)) {
             return false;
         }
-        records_[word.backend_server] = word;
-        changed(word.backend_server);
+        records_[update.backend_server] = update;
+        mark_changed(update.backend_server);
         return true;
     }
     auto& known = found->second;
-    if (word.incarnation < known.incarnation) {
+    if (update.incarnation < known.incarnation) {
         ++counters_.outdated;
         return false;
     }
-    const bool leaving = known.leaving || word.leaving;
+    const bool leaving = known.leaving || update.leaving;
     const bool later =
-        word.version > known.version ||
-        (word.version == known.version && word.dead && !known.dead);
+        update.version > known.version ||
+        (update.version == known.version && update.dead && !known.dead);
     const bool differs = later || leaving != known.leaving;
     if (!differs) {
         return false;
     }
     if (later) {
-        known = word;
+        known = update;
     } else {
-        known.source = word.source;
-        known.observer = word.observer;
-        known.since = word.since;
+        known.source = update.source;
+        known.observer = update.observer;
+        known.since = update.since;
     }
     known.leaving = leaving;
-    changed(word.backend_server);
+    mark_changed(update.backend_server);
     return true;
 }
 
@@ -154,16 +154,16 @@
     return room;
 }
 
-void belief_table::changed(const std::string& backend_server) {
+void belief_table::mark_changed(const std::string& backend_server) {
     ++counters_.changes;
     changed_.insert(backend_server);
 }
 
-void belief_table::retain(const std::set<std::string>& named, duration keep,
-                          time_point now) {
+void belief_table::retain(const std::set<std::string>& configured,
+                          duration keep, time_point now) {
     for (auto at = records_.begin(); at != records_.end();) {
         const bool forget =
-            named.count(at->first) == 0 && now - at->second.since >= keep;
+            configured.count(at->first) == 0 && now - at->second.since >= keep;
         at = forget ? records_.erase(at) : std::next(at);
     }
 }
--- a/src/membership/member_record.cpp
+++ b/src/membership/member_record.cpp
@@ -2,7 +2,7 @@
 
 namespace waxwingvale::membership {
 
-member_state state_of(const member_record& record) {
+member_state to_member_state(const member_record& record) {
     if (record.life == liveness::gone) {
         return member_state::gone;
     }
@@ -14,8 +14,8 @@
 }
 
 member to_member(const member_record& record) {
-    return {record.id, record.data_centre, record.addresses, state_of(record),
-            record.capacity};
+    return {record.id, record.data_centre, record.addresses,
+            to_member_state(record), record.capacity};
 }
 
 } // namespace waxwingvale::membership
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -12,9 +12,9 @@
 std::uint64_t hash_of(const member_record& record) {
     auto hash = decision::stable_hash(record.id.name, record.id.incarnation);
     hash = decision::combine_hashes(hash, record.assertion);
-    const auto word =
+    const auto state_bits =
         static_cast<std::uint64_t>(record.life) * 2 + (record.leaving ? 1 : 0);
-    return decision::combine_hashes(hash, word);
+    return decision::combine_hashes(hash, state_bits);
 }
 
 bool same_address(const member_record& a, const member_record& b) {
@@ -42,177 +42,185 @@
 member_table::member_table(member_record self, member_timing timing,
                            time_point now,
                            std::shared_ptr<const member_precedence> precedence)
-    : self_(self.id.name),
+    : self_name_(self.id.name),
       timing_(timing),
       started_(now),
       precedence_(std::move(precedence)) {
-    entries_[self_].record = std::move(self);
-    mark_changed(self_);
+    entries_[self_name_].record = std::move(self);
+    mark_changed(self_name_);
 }
 
-bool member_table::merge(const member_record& word, time_point now) {
-    if (word.id.name == self_) {
-        return merge_self(word, now);
+bool member_table::merge(const member_record& update, time_point now) {
+    if (update.id.name == self_name_) {
+        return merge_self(update, now);
     }
-    if (word.id.incarnation == 0) {
-        return false; // the platform's word, which everybody reads alone
+    if (update.id.incarnation == 0) {
+        return false; // known only from the platform's list, not from peers
     }
-    auto& known = entries_[word.id.name];
+    auto& known = entries_[update.id.name];
     if (known.record.id.name.empty()) {
-        known.record.id.name = word.id.name;
+        known.record.id.name = update.id.name;
     }
-    if (!adopt(known, word, now)) {
+    if (!adopt(known, update, now)) {
         return false;
     }
-    mark_changed(word.id.name);
-    retire_former_at(known.record, now);
+    mark_changed(update.id.name);
+    retire_previous_at_address(known.record, now);
     return true;
 }
 
-// Takes over what is newer in the word; whether anything was.
-bool member_table::adopt(entry& known, const member_record& word,
+// Merges the newer parts of `update` into `known`. Returns whether `known`
+// changed.
+bool member_table::adopt(entry& known, const member_record& update,
                          time_point now) {
     const auto before = known.record;
-    const bool same_life = word.id.incarnation == before.id.incarnation;
-    if (precedence_->supersedes(word, before)) {
-        known.record = word;
+    const bool same_incarnation =
+        update.id.incarnation == before.id.incarnation;
+    if (precedence_->supersedes(update, before)) {
+        known.record = update;
         known.record.life = before.life;
-        set_life(known, word.life, now);
+        set_liveness(known, update.life, now);
     }
-    if (same_life) {
-        // Leaving is never taken back within a life, whoever spoke last.
-        known.record.leaving = before.leaving || word.leaving;
+    if (same_incarnation) {
+        // Leaving is never reset within an incarnation, whichever record is
+        // the later one.
+        known.record.leaving = before.leaving || update.leaving;
     }
     return !(known.record == before);
 }
 
-void member_table::set_life(entry& known, liveness life, time_point now) {
+void member_table::set_liveness(entry& known, liveness life, time_point now) {
     if (known.record.life == life) {
         return;
     }
     known.record.life = life;
     if (life == liveness::suspect) {
-        known.suspected = now;
+        known.suspected_at = now;
     } else if (life == liveness::gone) {
-        known.gone = now;
+        known.gone_at = now;
     }
 }
 
-// A process that listens where another did has replaced it, under whatever
-// name. Without this the former would keep its slots until its silence is
-// noticed, although everybody who connects finds another in its place.
-void member_table::retire_former_at(const member_record& word, time_point now) {
-    if (word.life == liveness::gone) {
+// A process that listens on the address of another one has replaced it, even
+// under a different name. Without this rule the previous process would keep its
+// slots until failure detection notices its silence, although every connection
+// to its address reaches the new process.
+void member_table::retire_previous_at_address(const member_record& update,
+                                              time_point now) {
+    if (update.life == liveness::gone) {
         return;
     }
     for (auto& [name, other] : entries_) {
-        const bool former = name != word.id.name && name != self_ &&
-                            other.record.life != liveness::gone &&
-                            other.record.id.incarnation < word.id.incarnation &&
-                            same_address(other.record, word);
-        if (former) {
-            set_life(other, liveness::gone, now);
+        const bool is_previous =
+            name != update.id.name && name != self_name_ &&
+            other.record.life != liveness::gone &&
+            other.record.id.incarnation < update.id.incarnation &&
+            same_address(other.record, update);
+        if (is_previous) {
+            set_liveness(other, liveness::gone, now);
             mark_changed(name);
         }
     }
 }
 
-bool member_table::merge_self(const member_record& word, time_point now) {
-    const auto mine = self().id.incarnation;
-    if (mine == 0 || word.id.incarnation > mine) {
-        return hear_other_life(word, now);
+bool member_table::merge_self(const member_record& update, time_point now) {
+    const auto own = self().id.incarnation;
+    if (own == 0 || update.id.incarnation > own) {
+        return handle_other_incarnation(update, now);
     }
-    if (word.id.incarnation < mine || replaced_) {
+    if (update.id.incarnation < own || replaced_) {
         return false;
     }
-    return refute(word);
+    return refute(update);
 }
 
-bool member_table::hear_other_life(const member_record& word, time_point now) {
-    if (word.id.incarnation >= heard_self_.id.incarnation) {
-        heard_self_ = word;
+bool member_table::handle_other_incarnation(const member_record& update,
+                                            time_point now) {
+    if (update.id.incarnation >= self_from_peers_.id.incarnation) {
+        self_from_peers_ = update;
     }
-    auto& mine = self_entry().record;
-    if (mine.id.incarnation == 0) {
+    auto& own = self_entry().record;
+    if (own.id.incarnation == 0) {
         return false;
     }
-    if (now - started_ > timing_.settling) {
-        // A later process bears this name: we were replaced while we were
-        // stopped or cut off. Asserting ourselves would start an endless
-        // contest with it.
+    if (now - started_ > timing_.startup_period) {
+        // A later process has this name: this one was replaced while it was
+        // suspended or cut off from the network. If both raised their
+        // incarnations, they would override each other endlessly.
         const bool changed = !replaced_;
         replaced_ = true;
-        mine.life = liveness::gone;
+        own.life = liveness::gone;
         return changed;
     }
-    // Our wall clock stands before that of our former life.
-    mine.id.incarnation = word.id.incarnation + 1;
-    mine.assertion = 0;
-    mark_changed(self_);
+    // The wall clock was set back since this instance's previous incarnation.
+    own.id.incarnation = update.id.incarnation + 1;
+    own.assertion = 0;
+    mark_changed(self_name_);
     return true;
 }
 
-// Word of our present life: what is said against us is overruled, and a
-// former process's assertions are passed.
-bool member_table::refute(const member_record& word) {
-    auto& mine = self_entry().record;
-    const bool newly_leaving = word.leaving && !mine.leaving;
-    mine.leaving = mine.leaving || word.leaving;
-    const bool ahead = word.assertion > mine.assertion;
-    const bool against_us =
-        word.assertion == mine.assertion && word.life != mine.life;
-    if (ahead || against_us) {
-        mine.assertion = word.assertion;
+// Handles a record of this member's present incarnation. Raises the assertion
+// number above that of a record that reports this member as suspect or gone,
+// and above numbers that an earlier process of this incarnation used.
+bool member_table::refute(const member_record& update) {
+    auto& own = self_entry().record;
+    const bool newly_leaving = update.leaving && !own.leaving;
+    own.leaving = own.leaving || update.leaving;
+    const bool ahead = update.assertion > own.assertion;
+    const bool contradicted =
+        update.assertion == own.assertion && update.life != own.life;
+    if (ahead || contradicted) {
+        own.assertion = update.assertion;
         ++refutations_;
         assert_self();
         return true;
     }
     if (newly_leaving) {
-        mark_changed(self_);
+        mark_changed(self_name_);
     }
     return newly_leaving;
 }
 
 void member_table::assert_self() {
     ++self_entry().record.assertion;
-    mark_changed(self_);
+    mark_changed(self_name_);
 }
 
 bool member_table::accuse(const std::string& name, time_point now) {
     const auto found = entries_.find(name);
-    if (name == self_ || found == entries_.end() ||
+    if (name == self_name_ || found == entries_.end() ||
         found->second.record.life != liveness::alive ||
         found->second.record.id.incarnation == 0) {
         return false;
     }
-    set_life(found->second, liveness::suspect, now);
+    set_liveness(found->second, liveness::suspect, now);
     mark_changed(name);
     return true;
 }
 
-bool member_table::take_platform_list(const std::vector<listed_member>& list,
-                                      time_point now) {
+bool member_table::apply_platform_list(const std::vector<listed_member>& list,
+                                       time_point now) {
     for (auto& each : entries_) {
         each.second.listed = false;
     }
     bool changed = false;
     for (const auto& listed : list) {
-        changed = take_listed(listed, now) || changed;
+        changed = apply_listed(listed, now) || changed;
     }
     list_seen_ = true;
     version_ += changed ? 1 : 0;
     return changed;
 }
 
-bool member_table::take_listed(const listed_member& listed, time_point now) {
+bool member_table::apply_listed(const listed_member& listed, time_point now) {
     auto& known = entries_[listed.name];
     auto& record = known.record;
     bool changed = false;
-    if (record.id.incarnation == 0 && listed.name != self_) {
+    if (record.id.incarnation == 0 && listed.name != self_name_) {
         const bool is_new = record.id.name.empty();
         if (is_new) {
-            known.listed_first = now;
-            known.suspected = now;
+            known.first_listed_at = now;
+            known.suspected_at = now;
             record.life = liveness::suspect;
         }
         changed = is_new || !(record.addresses == listed.addresses);
@@ -222,26 +230,30 @@
     }
     known.listed = true;
     if (!listed.leaving) {
-        known.listed_leaving.reset();
+        known.listed_leaving_incarnation.reset();
         return changed;
     }
-    if (!known.listed_leaving) {
-        // At our own start the list may still mean our former life.
-        const bool about_former = listed.name == self_ && !list_seen_;
-        known.listed_leaving = about_former ? 0 : record.id.incarnation;
+    if (!known.listed_leaving_incarnation) {
+        // At this instance's own start the list may still refer to its previous
+        // incarnation.
+        const bool means_previous_incarnation =
+            listed.name == self_name_ && !list_seen_;
+        known.listed_leaving_incarnation =
+            means_previous_incarnation ? 0 : record.id.incarnation;
     }
     return apply_listed_leaving(known) || changed;
 }
 
 bool member_table::apply_listed_leaving(entry& known) {
     auto& record = known.record;
-    const bool applies = known.listed_leaving == record.id.incarnation;
-    const bool never_heard = record.id.incarnation == 0;
-    if ((!applies && !never_heard) || record.leaving) {
+    const bool applies =
+        known.listed_leaving_incarnation == record.id.incarnation;
+    const bool unconfirmed = record.id.incarnation == 0;
+    if ((!applies && !unconfirmed) || record.leaving) {
         return false;
     }
     record.leaving = true;
-    if (!never_heard) {
+    if (!unconfirmed) {
         mark_changed(record.id.name);
     }
     return true;
@@ -251,18 +263,18 @@
     bool changed = false;
     for (auto at = entries_.begin(); at != entries_.end();) {
         auto& known = at->second;
-        const bool heard = known.record.id.incarnation > 0;
+        const bool confirmed = known.record.id.incarnation > 0;
         const auto limit =
-            heard ? timing_.suspicion_limit : timing_.unheard_limit;
+            confirmed ? timing_.suspicion_limit : timing_.unconfirmed_limit;
         if (known.record.life == liveness::suspect &&
-            now - known.suspected >= limit) {
-            set_life(known, liveness::gone, now);
+            now - known.suspected_at >= limit) {
+            set_liveness(known, liveness::gone, now);
             mark_changed(at->first);
             changed = true;
         }
-        const bool forget = at->first != self_ && !known.listed &&
+        const bool forget = at->first != self_name_ && !known.listed &&
                             known.record.life == liveness::gone &&
-                            now - known.gone >= timing_.forget_after;
+                            now - known.gone_at >= timing_.forget_after;
         at = forget ? entries_.erase(at) : std::next(at);
         version_ += forget ? 1 : 0;
         changed = changed || forget;
@@ -272,45 +284,45 @@
 
 void member_table::restart_suspicions(time_point now) {
     for (auto& each : entries_) {
-        each.second.suspected = now;
+        each.second.suspected_at = now;
     }
 }
 
 bool member_table::start_life(std::uint64_t proposed) {
-    auto& mine = self_entry().record;
-    if (replaced_ || proposed == mine.id.incarnation) {
+    auto& own = self_entry().record;
+    if (replaced_ || proposed == own.id.incarnation) {
         return false;
     }
     const auto highest =
-        std::max(mine.id.incarnation, heard_self_.id.incarnation);
-    const bool goes_on =
-        mine.id.incarnation == 0 && proposed == heard_self_.id.incarnation;
-    mine.life = liveness::alive;
-    mine.leaving = goes_on && heard_self_.leaving;
-    mine.assertion = goes_on ? heard_self_.assertion + 1 : 0;
-    mine.id.incarnation =
-        proposed > highest || goes_on ? proposed : highest + 1;
-    mark_changed(self_);
+        std::max(own.id.incarnation, self_from_peers_.id.incarnation);
+    const bool continues =
+        own.id.incarnation == 0 && proposed == self_from_peers_.id.incarnation;
+    own.life = liveness::alive;
+    own.leaving = continues && self_from_peers_.leaving;
+    own.assertion = continues ? self_from_peers_.assertion + 1 : 0;
+    own.id.incarnation =
+        proposed > highest || continues ? proposed : highest + 1;
+    mark_changed(self_name_);
     return true;
 }
 
 bool member_table::leave() {
-    auto& mine = self_entry().record;
-    if (mine.leaving) {
+    auto& own = self_entry().record;
+    if (own.leaving) {
         return false;
     }
-    mine.leaving = true;
+    own.leaving = true;
     assert_self();
     return true;
 }
 
 bool member_table::set_serving(bool serving) {
-    auto& mine = self_entry().record;
+    auto& own = self_entry().record;
     const auto life = serving ? liveness::alive : liveness::gone;
-    if (replaced_ || mine.life == life) {
+    if (replaced_ || own.life == life) {
         return false;
     }
-    mine.life = life;
+    own.life = life;
     assert_self();
     return true;
 }
--- a/src/membership/quarantine_table.cpp
+++ b/src/membership/quarantine_table.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t deaths_to_convict = 2;
+constexpr std::size_t deaths_for_quarantine = 2;
 
 bool same_death(const death_record& a, const death_record& b) {
     return a.backend_server == b.backend_server &&
@@ -53,16 +53,16 @@
     known.push_back(death);
     ++death_count_;
     new_deaths_.push_back(death);
-    convict_if_proven(death);
+    quarantine_if_confirmed(death);
     return true;
 }
 
-void quarantine_table::convict_if_proven(const death_record& latest) {
+void quarantine_table::quarantine_if_confirmed(const death_record& latest) {
     const auto& known = deaths_.at(latest.fingerprint);
     const bool any_alone =
         std::any_of(known.begin(), known.end(),
                     [](const auto& each) { return each.alone; });
-    if (known.size() < deaths_to_convict || !any_alone) {
+    if (known.size() < deaths_for_quarantine || !any_alone) {
         return;
     }
     add_verdict({latest.fingerprint, latest.backend_server, latest.since});
--- a/src/membership/read_budget.cpp
+++ b/src/membership/read_budget.cpp
@@ -7,40 +7,44 @@
 
 namespace {
 
+// The part of the platform's read rate that all readers together may use.
 constexpr double used_fraction = 0.5;
-// A watch that is answered at once by every change is asked again four times a
-// second at most: what changes in between comes with one answer, and a drain
-// is still known far within its bound. The burst is for the pages of a list.
-constexpr read_share largest_share{4., 12.};
-// Of the first in the order, and of those after them.
-constexpr duration backoff_limit = std::chrono::milliseconds(2400);
-constexpr duration later_backoff_limit = std::chrono::seconds(5);
-constexpr std::size_t first_places = 16;
-// So many places down the order the first backoff grows by as much again.
-constexpr std::size_t places_per_backoff = 4;
+// While changes answer every watch at once, a reader starts at most four
+// watches a second: all changes in between come with one answer, and a drain
+// still becomes known well within its limit of 2 s. The burst allows reading
+// the pages of a list without a pause.
+constexpr read_share max_share{4., 12.};
+// The longest backoff of the readers with a rank below low_rank_count, and of
+// the others.
+constexpr duration low_rank_max_backoff = std::chrono::milliseconds(2400);
+constexpr duration high_rank_max_backoff = std::chrono::seconds(5);
+constexpr std::size_t low_rank_count = 16;
+// The initial backoff grows by its base value once per this many ranks.
+constexpr std::size_t ranks_per_backoff_step = 4;
 
 } // namespace
 
-read_share share_of(double reads_per_second, std::size_t readers,
-                    std::size_t place) {
+read_share read_share_for(double reads_per_second, std::size_t readers,
+                          std::size_t rank) {
     const auto count = static_cast<double>(std::max<std::size_t>(readers, 1));
     const double each = reads_per_second * used_fraction / count;
-    // Half for the burst, half for the reads of the second itself. A burst
-    // below one token would never let a read through.
-    const auto steps = static_cast<duration::rep>(place / places_per_backoff);
+    // Half of the share is for the burst, half for the reads of one second. A
+    // burst of less than one token would never allow a read.
+    const auto steps =
+        static_cast<duration::rep>(rank / ranks_per_backoff_step);
     const auto limit =
-        place < first_places ? backoff_limit : later_backoff_limit;
-    return {std::min(each / 2, largest_share.per_second),
-            std::clamp(each / 2, 1., largest_share.burst),
-            std::min(largest_share.first_backoff * (1 + steps), limit), limit};
+        rank < low_rank_count ? low_rank_max_backoff : high_rank_max_backoff;
+    return {std::min(each / 2, max_share.per_second),
+            std::clamp(each / 2, 1., max_share.burst),
+            std::min(max_share.initial_backoff * (1 + steps), limit), limit};
 }
 
 read_budget::read_budget(read_share share, std::uint64_t seed, time_point now)
     : share_(share),
       random_(seed),
       tokens_(share.burst),
-      refilled_(now),
-      not_before_(now) {}
+      last_refill_(now),
+      backoff_until_(now) {}
 
 void read_budget::set_share(read_share share, time_point now) {
     refill(now);
@@ -50,9 +54,9 @@
 
 void read_budget::refill(time_point now) {
     const double passed =
-        std::chrono::duration<double>(now - refilled_).count();
+        std::chrono::duration<double>(now - last_refill_).count();
     tokens_ = std::min(share_.burst, tokens_ + passed * share_.per_second);
-    refilled_ = now;
+    last_refill_ = now;
 }
 
 duration read_budget::wait_before_read(time_point now) {
@@ -60,11 +64,11 @@
     const double missing = std::max(0., 1. - tokens_);
     const auto for_token = duration(static_cast<duration::rep>(
         std::ceil(missing / share_.per_second * duration::period::den)));
-    const auto for_backoff = std::max(not_before_ - now, duration::zero());
+    const auto for_backoff = std::max(backoff_until_ - now, duration::zero());
     return std::max(for_token, for_backoff);
 }
 
-void read_budget::take(time_point now) {
+void read_budget::consume_token(time_point now) {
     refill(now);
     tokens_ = std::max(0., tokens_ - 1.);
 }
@@ -75,13 +79,13 @@
 
 void read_budget::failed(time_point now) {
     const auto doublings = std::min(failures_, 16U);
-    const auto longest =
-        std::min(share_.first_backoff * (std::int64_t{1} << doublings),
-                 share_.longest_backoff);
+    const auto backoff =
+        std::min(share_.initial_backoff * (std::int64_t{1} << doublings),
+                 share_.max_backoff);
     ++failures_;
-    std::uniform_int_distribution<duration::rep> jitter(longest.count() / 2,
-                                                        longest.count());
-    not_before_ = now + duration(jitter(random_));
+    std::uniform_int_distribution<duration::rep> jitter(backoff.count() / 2,
+                                                        backoff.count());
+    backoff_until_ = now + duration(jitter(random_));
 }
 
 } // namespace waxwingvale::membership
--- a/src/membership/reader_duty.cpp
+++ b/src/membership/reader_duty.cpp
@@ -13,7 +13,7 @@
 constexpr std::uint64_t order_seed = 0x72656164;
 
 struct candidate {
-    unsigned round; // how many of its data centre come before it
+    unsigned round; // number of earlier candidates in the same data centre
     unsigned cpu_permille;
     std::uint64_t hash;
     const member* of;
@@ -59,17 +59,18 @@
     : self_(std::move(self)),
       readers_(readers),
       timing_(timing),
-      introduced_at_(expects_peers ? now + timing.introduction : now),
-      // Where there are peers their reader has as long to be heard of as one
-      // that falls silent later.
-      verified_(expects_peers ? now
-                              : now - timing.stale_after - timing.step_limit),
+      startup_wait_ends_(expects_peers ? now + timing.startup_wait : now),
+      // If there are peers, the first update about their reader may take as
+      // long to arrive as this instance waits after a reader fails.
+      known_as_of_(expects_peers
+                       ? now
+                       : now - timing.stale_after - timing.max_rank_delay),
       reads_(readers == 0) {}
 
 void reader_duty::take_members(const std::vector<member>& members) {
     order_ = reader_order(members);
     const auto mine = std::find(order_.begin(), order_.end(), self_);
-    place_ = static_cast<std::size_t>(std::distance(order_.begin(), mine));
+    rank_ = static_cast<std::size_t>(std::distance(order_.begin(), mine));
 }
 
 std::vector<std::string> reader_duty::readers() const {
@@ -83,10 +84,10 @@
     return std::find(order_.begin(), last, name) != last;
 }
 
-// Whoever comes earlier reads for those after it, also while the first is
-// turned away by the platform.
-bool reader_duty::comes_before_self(const std::string& name) const {
-    const auto end = order_.begin() + static_cast<std::ptrdiff_t>(place_);
+// Whether the named instance has a lower rank. Such an instance reads on behalf
+// of this one, also while the platform refuses the instance of rank 0.
+bool reader_duty::precedes_self(const std::string& name) const {
+    const auto end = order_.begin() + static_cast<std::ptrdiff_t>(rank_);
     return std::find(order_.begin(), end, name) != end;
 }
 
@@ -95,16 +96,16 @@
     if (readers_ == 0) {
         return false;
     }
-    const auto verified = now - age;
+    const auto known_as_of = now - age;
     if (reader == self_) {
-        read_at_ = now;
-    } else if (comes_before_self(reader) && age < timing_.stale_after) {
-        relieved_ = now;
+        own_read_at_ = now;
+    } else if (precedes_self(reader) && age < timing_.stale_after) {
+        lower_rank_read_at_ = now;
     }
-    if (verified <= verified_) {
+    if (known_as_of <= known_as_of_) {
         return false;
     }
-    verified_ = verified;
+    known_as_of_ = known_as_of;
     newest_reader_ = reader;
     return true;
 }
@@ -115,31 +116,34 @@
 }
 
 bool reader_duty::decide(time_point now) {
-    if (readers_ > 0 && now < introduced_at_) {
+    if (readers_ > 0 && now < startup_wait_ends_) {
         return false;
     }
     if (readers_ == 0 || is_reader(self_)) {
-        took_over_.reset();
+        took_over_at_.reset();
         return true;
     }
-    const auto places = static_cast<duration::rep>(place_);
-    const auto patience = timing_.stale_after +
-                          std::min(timing_.step * places, timing_.step_limit);
-    if (age(now) > patience) {
-        took_over_ = took_over_ ? took_over_ : now;
+    const auto ranks = static_cast<duration::rep>(rank_);
+    const auto takeover_delay =
+        timing_.stale_after +
+        std::min(timing_.rank_delay * ranks, timing_.max_rank_delay);
+    if (age(now) > takeover_delay) {
+        took_over_at_ = took_over_at_ ? took_over_at_ : now;
     }
-    if (!took_over_) {
+    if (!took_over_at_) {
         return false;
     }
-    // Who has read nothing yet is needed by nobody.
-    const bool has_read = read_at_ > *took_over_;
-    const bool served_its_time =
-        !has_read || relieved_ - *took_over_ >= timing_.relief;
-    const bool is_relieved = relieved_ > *took_over_ &&
-                             now - relieved_ < timing_.stale_after &&
-                             served_its_time;
-    if (is_relieved) {
-        took_over_.reset();
+    // If this instance has not read anything since it took over, no peer
+    // depends on it and it stops at once.
+    const bool has_read = own_read_at_ > *took_over_at_;
+    const bool hold_has_ended =
+        !has_read ||
+        lower_rank_read_at_ - *took_over_at_ >= timing_.takeover_hold;
+    const bool may_stop = lower_rank_read_at_ > *took_over_at_ &&
+                          now - lower_rank_read_at_ < timing_.stale_after &&
+                          hold_has_ended;
+    if (may_stop) {
+        took_over_at_.reset();
         return false;
     }
     return true;
--- a/src/membership/registry_table.cpp
+++ b/src/membership/registry_table.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-// A removal is remembered this long, against word of before that is late.
-constexpr duration removal_keep = std::chrono::minutes(2);
-// An entry outlasts three missed check-ins, so that none of a living server
-// lapses in a shorter absence of the platform.
-constexpr duration shortest_absence = std::chrono::milliseconds(1500);
-// Entries that lapsed while the platform was away are back about two seconds
-// after its return, if their servers live.
-constexpr duration lapse_grace = std::chrono::milliseconds(2200);
-// A removal is held no longer than this, also if the platform stays away.
-constexpr duration longest_hold = std::chrono::seconds(10);
-
-// No backend server has a name with a slash.
+// Removals are remembered this long, to reject late records from before them.
+constexpr duration removal_retention = std::chrono::minutes(2);
+// Shorter outages of the platform have no effect: a registration expires only
+// after three missed check-ins, so that none of a live server expires in them.
+constexpr duration min_outage = std::chrono::milliseconds(1500);
+// Live servers whose registrations expired during an outage of the platform
+// have registered again about two seconds after it.
+constexpr duration reregistration_grace = std::chrono::milliseconds(2200);
+// A removal is held no longer than this, even if the platform does not answer.
+constexpr duration max_hold = std::chrono::seconds(10);
+
+// Distinct from all names of backend servers, which contain no slash.
 constexpr const char* evacuation_prefix = "evacuate/";
 
 std::uint64_t hash_of(const registry_record& record) {
@@ -28,8 +28,8 @@
 
 } // namespace
 
-registry_record evacuation_record(const std::string& data_centre,
-                                  std::uint64_t revision) {
+registry_record make_evacuation_record(const std::string& data_centre,
+                                       std::uint64_t revision) {
     registry_record record;
     record.name = evacuation_prefix + data_centre;
     record.revision = revision;
@@ -43,47 +43,49 @@
 }
 
 std::vector<evacuation> registry_table::evacuations() const {
-    std::vector<evacuation> orders;
+    std::vector<evacuation> all;
     for (const auto& each : evacuations_) {
-        orders.push_back(each.second);
+        all.push_back(each.second);
     }
-    return orders;
+    return all;
 }
 
-bool registry_table::merge(const registry_record& word, time_point now) {
-    const auto known = records_.find(word.name);
-    const auto gone = removed_.find(word.name);
+bool registry_table::merge(const registry_record& update, time_point now) {
+    const auto known = records_.find(update.name);
+    const auto gone = removed_.find(update.name);
     const auto revision = known != records_.end()  ? known->second.revision
                           : gone != removed_.end() ? gone->second.revision
                                                    : 0;
-    if (word.revision <= revision) {
+    if (update.revision <= revision) {
         return false;
     }
-    if (!word.present) {
-        remove(word.name, word.revision, now);
+    if (!update.present) {
+        remove(update.name, update.revision, now);
         return true;
     }
-    // An order binds however many servers there are.
-    const bool orders = word.subject == registry_subject::evacuation;
-    if (!orders && known == records_.end() && records_.size() >= limit_) {
+    // Evacuations are accepted even when the table is full.
+    const bool is_evacuation_record =
+        update.subject == registry_subject::evacuation;
+    if (!is_evacuation_record && known == records_.end() &&
+        records_.size() >= limit_) {
         return false;
     }
     if (known != records_.end()) {
         fingerprint_ ^= hash_of(known->second);
     }
-    auto& taken = records_[word.name];
-    taken = word;
-    taken.taken_at = now;
-    if (orders) {
-        auto& order = evacuations_[word.name];
-        const bool is_new = order.revision == 0;
-        order = {word.entry.data_centre, word.revision,
-                 is_new ? now : order.since};
-    }
-    fingerprint_ ^= hash_of(word);
-    removed_.erase(word.name);
-    held_.erase(word.name);
-    changed(word.name);
+    auto& stored = records_[update.name];
+    stored = update;
+    stored.received_at = now;
+    if (is_evacuation_record) {
+        auto& known_evacuation = evacuations_[update.name];
+        const bool is_new = known_evacuation.revision == 0;
+        known_evacuation = {update.entry.data_centre, update.revision,
+                            is_new ? now : known_evacuation.since};
+    }
+    fingerprint_ ^= hash_of(update);
+    removed_.erase(update.name);
+    held_.erase(update.name);
+    mark_changed(update.name);
     return true;
 }
 
@@ -97,59 +99,61 @@
     evacuations_.erase(name);
     held_.erase(name);
     removed_[name] = {revision, now};
-    changed(name);
+    mark_changed(name);
 }
 
-void registry_table::changed(const std::string& name) {
+void registry_table::mark_changed(const std::string& name) {
     changed_.insert(name);
     ++version_;
 }
 
-duration registry_table::answered(time_point now) const {
-    return answered_before_ +
-           (answers_since_ ? now - *answers_since_ : duration::zero());
+duration registry_table::answering_time(time_point now) const {
+    return earlier_answering_time_ +
+           (answering_since_ ? now - *answering_since_ : duration::zero());
 }
 
-void registry_table::platform_lost(time_point last_answer) {
-    // A return for a moment does not end an absence.
-    const bool was_there =
-        !answers_since_ || last_answer - *answers_since_ >= shortest_absence;
-    if (was_there) {
-        lost_ = last_answer;
+void registry_table::mark_platform_unreachable(time_point last_answer) {
+    // A brief return of the platform does not end an outage.
+    const bool starts_new_outage =
+        !answering_since_ || last_answer - *answering_since_ >= min_outage;
+    if (starts_new_outage) {
+        last_answer_at_ = last_answer;
     }
-    answered_before_ = answered(last_answer);
-    answers_since_.reset();
+    earlier_answering_time_ = answering_time(last_answer);
+    answering_since_.reset();
 }
 
 void registry_table::platform_answered_other(time_point when) {
-    if (answers_since_ || when <= lost_) {
+    if (answering_since_ || when <= last_answer_at_) {
         return;
     }
-    if (when - lost_ >= shortest_absence) {
-        returned_to_others_ = when;
-    } else if (returned_to_others_ &&
-               when - *returned_to_others_ >= lapse_grace) {
-        returned_to_others_.reset();
+    if (when - last_answer_at_ >= min_outage) {
+        outage_ended_at_ = when;
+    } else if (outage_ended_at_ &&
+               when - *outage_ended_at_ >= reregistration_grace) {
+        outage_ended_at_.reset();
     }
-    lost_ = when;
+    last_answer_at_ = when;
 }
 
-void registry_table::platform_returned(time_point now) {
-    if (!answers_since_) {
-        answers_since_ = now;
+void registry_table::mark_platform_reachable(time_point now) {
+    if (!answering_since_) {
+        answering_since_ = now;
     }
-    if (now - lost_ >= shortest_absence) {
-        returned_to_others_ = now;
+    if (now - last_answer_at_ >= min_outage) {
+        outage_ended_at_ = now;
     }
-    if (const auto since = std::exchange(returned_to_others_, std::nullopt)) {
-        hold_until_ = answered(now) + lapse_grace - (now - *since);
+    if (const auto since = std::exchange(outage_ended_at_, std::nullopt)) {
+        hold_until_ =
+            answering_time(now) + reregistration_grace - (now - *since);
     }
 }
 
-void registry_table::take_change(const registry_record& change,
-                                 time_point now) {
-    // Entries of servers lapse, an operator's order does not.
-    const bool hold = !change.present && answered(now) < hold_until_ &&
+void registry_table::apply_change(const registry_record& change,
+                                  time_point now) {
+    // Only registrations expire; the removal of an evacuation is an operator's
+    // decision and is not held.
+    const bool hold = !change.present && answering_time(now) < hold_until_ &&
                       records_.count(change.name) != 0 &&
                       !is_evacuation(change.name);
     if (hold) {
@@ -162,8 +166,8 @@
     merge(change, now);
 }
 
-void registry_table::take_list(const std::vector<registry_record>& list,
-                               std::uint64_t revision, time_point now) {
+void registry_table::apply_list(const std::vector<registry_record>& list,
+                                std::uint64_t revision, time_point now) {
     std::set<std::string> named;
     for (const auto& each : list) {
         named.insert(each.name);
@@ -177,19 +181,19 @@
         }
     }
     for (auto& each : missing) {
-        // Its last change may be the very revision of the list.
+        // The record's last change may have the same revision as the list.
         each.revision =
             std::max(each.revision, records_.at(each.name).revision + 1);
-        take_change(each, now);
+        apply_change(each, now);
     }
 }
 
 bool registry_table::tick(time_point now) {
     const auto before = version();
-    const auto so_far = answered(now);
+    const auto answering_time_now = answering_time(now);
     std::vector<registry_record> due;
     for (const auto& [name, held] : held_) {
-        if (held.until <= so_far || now - held.since >= longest_hold) {
+        if (held.until <= answering_time_now || now - held.since >= max_hold) {
             due.push_back({name, held.revision, false, {}});
         }
     }
@@ -198,7 +202,7 @@
         merge(each, now);
     }
     for (auto at = removed_.begin(); at != removed_.end();) {
-        const bool old = now - at->second.since >= removal_keep;
+        const bool old = now - at->second.since >= removal_retention;
         at = old ? removed_.erase(at) : std::next(at);
     }
     return version() != before;
@@ -233,8 +237,8 @@
     return records;
 }
 
-// Removals are left out: they are forgotten at different moments, and whoever
-// missed one still has the record, which shows.
+// Removals are not hashed: instances forget them at different times, and an
+// instance that missed a removal still has the record, so its digest differs.
 digest_buckets registry_table::digest() const {
     digest_buckets buckets{};
     for (const auto& known : records_) {
--- a/test/control/view_publisher_test.cpp
+++ b/test/control/view_publisher_test.cpp
@@ -143,7 +143,7 @@
 
     void order(const std::string& data_centre, std::uint64_t revision,
                bool present = true) {
-        auto record = membership::evacuation_record(data_centre, revision);
+        auto record = membership::make_evacuation_record(data_centre, revision);
         record.present = present;
         known.registry.merge(record, clock.now());
         views.publish(true);
--- a/test/io/platform_client_test.cpp
+++ b/test/io/platform_client_test.cpp
@@ -106,10 +106,10 @@
     // The platform is down for eight seconds, and 128 instances try again on
     // their own. With a backoff of 200 ms each of them makes half a dozen
     // reads; the first few of them are enough to find it back.
-    const auto first = membership::share_of(6000, 128, 0);
-    const auto last = membership::share_of(6000, 128, 127);
-    CHECK(first.first_backoff == 200ms);
-    CHECK(last.first_backoff == 5s);
+    const auto first = membership::read_share_for(6000, 128, 0);
+    const auto last = membership::read_share_for(6000, 128, 127);
+    CHECK(first.initial_backoff == 200ms);
+    CHECK(last.initial_backoff == 5s);
     membership::read_budget budget(last, 1, time_point{});
     budget.failed(time_point{});
     CHECK(budget.wait_before_read(time_point{}) >= 2500ms);
--- a/test/membership/fault_script.cpp
+++ b/test/membership/fault_script.cpp
@@ -8,113 +8,119 @@
 
 using namespace std::chrono_literals;
 
-constexpr duration shortest_fault = 500ms;
-constexpr duration longest_fault = 12s;
-constexpr duration shortest_rest = 300ms;
-constexpr duration longest_rest = 4s;
-constexpr duration shortest_freeze = 600ms;
-constexpr duration longest_freeze = 3s;
-constexpr duration slowest_answer = 150ms; // each way
-constexpr duration oldest_word = 4s;
-constexpr duration quickest_start = 200ms;
-constexpr duration slowest_start = 1s;
-constexpr duration between_restarts = 1500ms;
+constexpr duration min_fault_duration = 500ms;
+constexpr duration max_fault_duration = 12s;
+constexpr duration min_fault_pause = 300ms;
+constexpr duration max_fault_pause = 4s;
+constexpr duration min_freeze = 600ms;
+constexpr duration max_freeze = 3s;
+constexpr duration max_answer_delay = 150ms; // in each direction
+constexpr duration max_staleness = 4s;
+constexpr duration min_start_delay = 200ms;
+constexpr duration max_start_delay = 1s;
+constexpr duration restart_interval = 1500ms;
 
 } // namespace
 
 const char* name_of(fleet_fault fault) {
     static constexpr const char* names[fleet_fault_count] = {
-        "restart_one_after_another",
+        "rolling_restart",
         "restart_reader",
         "freeze_some",
         "freeze_reader",
-        "cut_part",
-        "silent_to_reader",
-        "silent_to_some",
-        "silent_to_all",
+        "partition",
+        "platform_unavailable_to_reader",
+        "platform_unavailable_to_some",
+        "platform_unavailable_to_all",
         "slow_platform",
-        "old_word",
-        "history_forgotten",
+        "stale_answers",
+        "history_truncated",
         "links_replaced",
-        "links_swallow"};
+        "links_drop_messages"};
     return names[static_cast<unsigned>(fault)];
 }
 
-fault_script::fault_script(fleet_simulation& fleet, duration quickest,
-                           duration slowest)
+fault_script::fault_script(fleet_simulation& fleet,
+                           duration min_publish_interval,
+                           duration max_publish_interval)
     : fleet_(fleet),
-      quickest_(quickest),
-      slowest_(slowest),
-      next_publication_(fleet.now()),
-      next_fault_(fleet.now()) {}
+      min_publish_interval_(min_publish_interval),
+      max_publish_interval_(max_publish_interval),
+      next_publication_at_(fleet.now()),
+      next_fault_at_(fleet.now()) {}
 
 void fault_script::choose_from(std::vector<fleet_fault> faults) {
     faults_ = std::move(faults);
 }
 
-duration fault_script::between(duration least, duration most) {
-    return least + fleet_.random_within(most - least);
+duration fault_script::random_between(duration min, duration max) {
+    return min + fleet_.random_within(max - min);
 }
 
 void fault_script::pass(duration time) {
     const auto end = fleet_.now() + time;
     while (fleet_.now() < end) {
-        publish_due();
-        restart_due();
-        end_due();
-        if (!lasts_ && !faults_.empty() && fleet_.now() >= next_fault_) {
-            begin_some();
+        publish_if_due();
+        restart_if_due();
+        end_if_due();
+        if (!fault_active_ && !faults_.empty() &&
+            fleet_.now() >= next_fault_at_) {
+            inject_random();
         }
         fleet_.run_for(20ms);
     }
 }
 
-// One, or two together.
-void fault_script::begin_some() {
-    lasts_ = true;
-    ends_ = fleet_.now() + between(shortest_fault, longest_fault);
-    const auto count = 1 + fleet_.random_below(2);
-    for (unsigned each = 0; each < count; ++each) {
-        begin(faults_[fleet_.random_below(
+void fault_script::inject_random() {
+    fault_active_ = true;
+    fault_ends_at_ =
+        fleet_.now() + random_between(min_fault_duration, max_fault_duration);
+    const auto fault_count = 1 + fleet_.random_below(2);
+    for (unsigned each = 0; each < fault_count; ++each) {
+        inject(faults_[fleet_.random_below(
             static_cast<unsigned>(faults_.size()))]);
     }
 }
 
-void fault_script::publish_due() {
-    if (fleet_.now() >= next_publication_) {
+void fault_script::publish_if_due() {
+    if (fleet_.now() >= next_publication_at_) {
         fleet_.publish_configuration();
-        next_publication_ = fleet_.now() + between(quickest_, slowest_);
+        next_publication_at_ =
+            fleet_.now() +
+            random_between(min_publish_interval_, max_publish_interval_);
     }
 }
 
-void fault_script::restart_due() {
-    if (!to_restart_.empty() && fleet_.now() >= next_restart_) {
+void fault_script::restart_if_due() {
+    if (!to_restart_.empty() && fleet_.now() >= next_restart_at_) {
         const auto number = to_restart_.back();
         to_restart_.pop_back();
         if (fleet_.standing(number).running) {
             fleet_.kill(number);
-            fleet_.start(number, between(quickest_start, slowest_start));
+            fleet_.start(number,
+                         random_between(min_start_delay, max_start_delay));
         }
-        next_restart_ = fleet_.now() + between_restarts;
+        next_restart_at_ = fleet_.now() + restart_interval;
     }
 }
 
-void fault_script::end_due() {
-    if (lasts_ && fleet_.now() >= ends_) {
-        end_all();
-        next_fault_ = fleet_.now() + between(shortest_rest, longest_rest);
+void fault_script::end_if_due() {
+    if (fault_active_ && fleet_.now() >= fault_ends_at_) {
+        end_faults();
+        next_fault_at_ =
+            fleet_.now() + random_between(min_fault_pause, max_fault_pause);
     }
 }
 
-void fault_script::end_all() {
-    lasts_ = false;
+void fault_script::end_faults() {
+    fault_active_ = false;
     fleet_.heal();
     fleet_.let_platform_answer([](unsigned) { return true; });
     fleet_.platform().set_delay(simulated_platform::usual_delay);
-    fleet_.platform().set_word_age(duration::zero());
+    fleet_.platform().set_staleness(duration::zero());
 }
 
-std::set<unsigned> fault_script::some() {
+std::set<unsigned> fault_script::random_instances() {
     std::set<unsigned> chosen;
     const auto count = 1 + fleet_.random_below(1 + fleet_.instances() / 3);
     while (chosen.size() < count) {
@@ -123,7 +129,7 @@
     return chosen;
 }
 
-unsigned fault_script::reader() {
+unsigned fault_script::current_reader() {
     for (unsigned each = 0; each < fleet_.instances(); ++each) {
         if (fleet_.standing(each).reads) {
             return each;
@@ -132,63 +138,65 @@
     return 0;
 }
 
-void fault_script::keep_from(const std::set<unsigned>& whom) {
+void fault_script::make_platform_unavailable_to(
+    const std::set<unsigned>& instances) {
     fleet_.platform().refuse_the_others(fleet_.random_below(2) == 0);
     fleet_.let_platform_answer(
-        [whom](unsigned number) { return whom.count(number) == 0; });
+        [instances](unsigned number) { return instances.count(number) == 0; });
 }
 
-void fault_script::begin(fleet_fault fault) {
-    played_ += std::to_string(fleet_.now().time_since_epoch() / 1ms % 3600000) +
-               " " + name_of(fault) + "; ";
+void fault_script::inject(fleet_fault fault) {
+    injected_ +=
+        std::to_string(fleet_.now().time_since_epoch() / 1ms % 3600000) + " " +
+        name_of(fault) + "; ";
     switch (fault) {
-    case fleet_fault::restart_one_after_another:
-        for (const auto each : some()) {
+    case fleet_fault::rolling_restart:
+        for (const auto each : random_instances()) {
             to_restart_.push_back(each);
         }
         break;
     case fleet_fault::restart_reader:
-        to_restart_.push_back(reader());
+        to_restart_.push_back(current_reader());
         break;
     case fleet_fault::freeze_some:
-        for (const auto each : some()) {
-            fleet_.freeze(each, between(shortest_freeze, longest_freeze));
+        for (const auto each : random_instances()) {
+            fleet_.freeze(each, random_between(min_freeze, max_freeze));
         }
         break;
     case fleet_fault::freeze_reader:
-        fleet_.freeze(reader(), between(shortest_freeze, longest_freeze));
+        fleet_.freeze(current_reader(), random_between(min_freeze, max_freeze));
         break;
-    case fleet_fault::cut_part:
-        fleet_.cut(some());
+    case fleet_fault::partition:
+        fleet_.partition(random_instances());
         break;
-    case fleet_fault::silent_to_reader:
-        keep_from({reader()});
+    case fleet_fault::platform_unavailable_to_reader:
+        make_platform_unavailable_to({current_reader()});
         break;
-    case fleet_fault::silent_to_some:
-        keep_from(some());
+    case fleet_fault::platform_unavailable_to_some:
+        make_platform_unavailable_to(random_instances());
         break;
-    case fleet_fault::silent_to_all:
+    case fleet_fault::platform_unavailable_to_all:
         fleet_.platform().refuse_the_others(fleet_.random_below(2) == 0);
         fleet_.let_platform_answer([](unsigned) { return false; });
         break;
     case fleet_fault::slow_platform:
         fleet_.platform().set_delay(
-            between(simulated_platform::usual_delay, slowest_answer));
+            random_between(simulated_platform::usual_delay, max_answer_delay));
         break;
-    case fleet_fault::old_word:
-        fleet_.platform().set_word_age(between(500ms, oldest_word));
+    case fleet_fault::stale_answers:
+        fleet_.platform().set_staleness(random_between(500ms, max_staleness));
         break;
-    case fleet_fault::history_forgotten:
-        fleet_.platform().forget_history();
+    case fleet_fault::history_truncated:
+        fleet_.platform().truncate_history();
         break;
     case fleet_fault::links_replaced:
-        for (const auto each : some()) {
+        for (const auto each : random_instances()) {
             fleet_.replace_links(each);
         }
         break;
-    case fleet_fault::links_swallow:
-        for (const auto each : some()) {
-            fleet_.swallow(each, between(20ms, 1s));
+    case fleet_fault::links_drop_messages:
+        for (const auto each : random_instances()) {
+            fleet_.drop_messages(each, random_between(20ms, 1s));
         }
         break;
     }
--- a/test/membership/fleet_simulation.cpp
+++ b/test/membership/fleet_simulation.cpp
@@ -14,19 +14,21 @@
 
 constexpr duration tick_period = std::chrono::milliseconds(100);
 constexpr duration flush_delay = std::chrono::milliseconds(2);
-constexpr duration link_opening = std::chrono::milliseconds(5);
+constexpr duration link_setup_time = std::chrono::milliseconds(5);
 constexpr double platform_reads_per_second = 2000;
-constexpr duration unwanted_limit = std::chrono::seconds(5);
-constexpr duration within_data_centre = std::chrono::microseconds(200);
-constexpr duration between_data_centres = std::chrono::microseconds(900);
+constexpr duration unwanted_link_timeout = std::chrono::seconds(5);
+constexpr duration latency_within_data_centre = std::chrono::microseconds(200);
+constexpr duration latency_between_data_centres =
+    std::chrono::microseconds(900);
 constexpr unsigned seed_count = 3;
-// Readers, owners and standbys of three services.
+// The central instances: the readers of the platform, and the owners and
+// standbys of three services.
 constexpr std::size_t central_count = 13;
-// A frame, its tag and the headers below it.
+// Bytes of a frame with its tag, and of the headers of the layers below it.
 constexpr std::size_t message_overhead = 90;
-// What a message costs a whole core, sent or received.
-constexpr duration cost_of_message = std::chrono::microseconds(60);
-constexpr std::chrono::nanoseconds cost_of_byte{80};
+// Time of a whole core for sending or receiving a message.
+constexpr duration cpu_time_per_message = std::chrono::microseconds(60);
+constexpr std::chrono::nanoseconds cpu_time_per_byte{80};
 
 result<configuration> validate(const configuration_text& file) {
     configuration parsed;
@@ -51,16 +53,16 @@
 } // namespace
 
 struct fleet_simulation::instance {
-    instance(const member_record& self, std::uint64_t life, bool expects_peers,
-             time_point now)
+    instance(const member_record& self, std::uint64_t own_incarnation,
+             bool expects_peers, time_point now)
         : members(self, {}, now),
           readers(self.id.name, 1, expects_peers, {}, now),
           fresh(std::chrono::milliseconds(500), now),
           exchange(
               {configurations, members, beliefs, registry, quarantine, readers},
-              fresh, {}, life, now),
-          life_number(life) {
-        members.start_life(life);
+              fresh, {}, own_incarnation, now),
+          incarnation(own_incarnation) {
+        members.start_life(own_incarnation);
     }
 
     configuration_register configurations{validate};
@@ -71,22 +73,22 @@
     reader_duty readers;
     freshness fresh;
     peer_exchange exchange;
-    std::uint64_t life_number;
+    std::uint64_t incarnation;
     bool running = false;
     bool flush_planned = false;
     bool frozen = false;
-    std::vector<std::function<void()>> missed; // while it was frozen
+    std::vector<std::function<void()>> deferred; // while the process is frozen
     std::unique_ptr<simulated_reader> reader;
-    std::uint64_t listed_at = 0; // revision of the list that was read
-    std::uint64_t members_planned = 0;
+    std::uint64_t listed_revision = 0; // of the list that was read last
+    std::uint64_t planned_members_version = 0;
     std::set<std::string> wanted;
     std::set<std::string> central;
     std::map<std::string, time_point> unwanted_since;
     std::set<std::string> seed_links;
-    // When the processor and the link are free again.
-    time_point processor{};
-    time_point sending{};
-    time_point receiving{};
+    // When the processor and each direction of the network link are free again.
+    time_point processor_free_at{};
+    time_point uplink_free_at{};
+    time_point downlink_free_at{};
 };
 
 fleet_simulation::fleet_simulation(const fleet_shape& shape)
@@ -95,11 +97,11 @@
       instances_(shape.instances),
       platform_(
           now_,
-          [this](time_point when, std::function<void()> run) {
-              at(when, std::move(run));
+          [this](time_point due, std::function<void()> run) {
+              schedule_at(due, std::move(run));
           },
           shape.watch),
-      sent_by_(shape.instances) {
+      bytes_sent_by_(shape.instances) {
     for (unsigned each = 0; each < shape_.instances; ++each) {
         numbers_[name_of(each)] = each;
     }
@@ -110,8 +112,8 @@
 
 fleet_simulation::~fleet_simulation() = default;
 
-void fleet_simulation::at(time_point when, std::function<void()> run) {
-    events_.push({when, ++scheduled_, std::move(run)});
+void fleet_simulation::schedule_at(time_point due, std::function<void()> run) {
+    events_.push({due, ++event_count_, std::move(run)});
 }
 
 duration fleet_simulation::random_within(duration limit) {
@@ -124,11 +126,11 @@
 }
 
 std::string fleet_simulation::name_of(unsigned number) const {
-    return "edge-" + std::to_string(centre_of(number)) + "-" +
+    return "edge-" + std::to_string(data_centre_of(number)) + "-" +
            std::to_string(number / shape_.data_centres);
 }
 
-unsigned fleet_simulation::centre_of(unsigned number) const {
+unsigned fleet_simulation::data_centre_of(unsigned number) const {
     return number % shape_.data_centres;
 }
 
@@ -142,14 +144,14 @@
 }
 
 void fleet_simulation::start(unsigned number, duration after) {
-    at(now_ + after, [this, number] { begin(number); });
+    schedule_at(now_ + after, [this, number] { start_process(number); });
 }
 
-void fleet_simulation::begin(unsigned number) {
+void fleet_simulation::start_process(unsigned number) {
     const auto strong = shape_.strong_per_data_centre * shape_.data_centres;
     member_record self;
     self.id.name = name_of(number);
-    self.data_centre = "centre-" + std::to_string(centre_of(number));
+    self.data_centre = "centre-" + std::to_string(data_centre_of(number));
     self.addresses.host = "10.1." + std::to_string(number / 250) + "." +
                           std::to_string(number % 250 + 1);
     self.addresses.caller_port = 8381;
@@ -157,63 +159,70 @@
     self.addresses.control_port = 8382;
     self.capacity.cpu_permille = number < strong ? 500 : 100;
     self.capacity.link_mbps = number < strong ? 200 : 20;
-    const auto life = 1790000000000 + ++lives_;
+    const auto incarnation = 1790000000000 + ++process_count_;
     const bool reads_first = shape_.seeds_read_first && number < seed_count;
     instances_[number] =
-        std::make_unique<instance>(self, life, !reads_first, now_);
-    auto& begun = *instances_[number];
-    begun.running = true;
-    simulated_reader::surroundings around;
-    around.now = [this] { return now_; };
-    around.after = [this, number](duration wait, std::function<void()> run) {
-        after(number, wait, std::move(run));
+        std::make_unique<instance>(self, incarnation, !reads_first, now_);
+    auto& started = *instances_[number];
+    started.running = true;
+    simulated_reader::callbacks calls;
+    calls.now = [this] { return now_; };
+    calls.schedule_after = [this, number](duration wait,
+                                          std::function<void()> run) {
+        schedule_after(number, wait, std::move(run));
     };
-    around.ask = [this, number, life](std::optional<std::uint64_t> since,
-                                      const simulated_platform::handler& to) {
-        platform_.ask(number, since,
-                      [this, number, life, to](const platform_answer& answer) {
-                          run_on(number, life, [to, answer] { to(answer); });
-                      });
+    calls.read = [this, number, incarnation](
+                     std::optional<std::uint64_t> after_revision,
+                     const simulated_platform::answer_handler& on_answer) {
+        platform_.read(number, after_revision,
+                       [this, number, incarnation,
+                        on_answer](const platform_answer& answer) {
+                           run_on(number, incarnation,
+                                  [on_answer, answer] { on_answer(answer); });
+                       });
     };
-    around.on_reading = [this, number](const platform_answer& answer) {
-        take_reading(number, answer);
+    calls.on_answer = [this, number](const platform_answer& answer) {
+        apply_answer(number, answer);
     };
-    around.on_state = [this, number](bool answers) {
+    calls.on_platform_state = [this, number](bool answers) {
         instances_[number]->exchange.set_platform_answers(answers);
     };
-    begun.reader = std::make_unique<simulated_reader>(std::move(around),
-                                                      shape_.watch, life);
+    started.reader = std::make_unique<simulated_reader>(
+        std::move(calls), shape_.watch, incarnation);
     tick(number);
 }
 
-bool fleet_simulation::may_act(unsigned number) const {
+bool fleet_simulation::is_active(unsigned number) const {
     return instances_[number] && instances_[number]->running &&
            !instances_[number]->frozen;
 }
 
-void fleet_simulation::run_on(unsigned number, std::uint64_t life,
+void fleet_simulation::run_on(unsigned number, std::uint64_t incarnation,
                               const std::function<void()>& run) {
     auto& self = *instances_[number];
-    if (self.life_number != life || !self.running) {
+    if (self.incarnation != incarnation || !self.running) {
         return;
     }
     if (self.frozen) {
-        self.missed.push_back(
-            [this, number, life, run] { run_on(number, life, run); });
+        self.deferred.push_back([this, number, incarnation, run] {
+            run_on(number, incarnation, run);
+        });
         return;
     }
-    beat(number);
+    check_for_suspension(number);
     run();
 }
 
-void fleet_simulation::after(unsigned number, duration wait,
-                             std::function<void()> run) {
-    at(now_ + wait, [this, number, life = instances_[number]->life_number,
-                     run = std::move(run)] { run_on(number, life, run); });
+void fleet_simulation::schedule_after(unsigned number, duration wait,
+                                      std::function<void()> run) {
+    schedule_at(now_ + wait,
+                [this, number, incarnation = instances_[number]->incarnation,
+                 run = std::move(run)] { run_on(number, incarnation, run); });
 }
 
-// Before anything else, whatever happens first.
-void fleet_simulation::beat(unsigned number) {
+// Runs before anything else that a process does, so that a process that was
+// suspended notices it first.
+void fleet_simulation::check_for_suspension(unsigned number) {
     auto& self = *instances_[number];
     if (self.fresh.beat(now_)) {
         self.reader->read_again();
@@ -223,24 +232,25 @@
 }
 
 void fleet_simulation::freeze(unsigned number, duration time) {
-    if (!may_act(number)) {
+    if (!is_active(number)) {
         return;
     }
     instances_[number]->frozen = true;
-    at(now_ + time, [this, number, life = instances_[number]->life_number] {
-        if (instances_[number]->life_number == life) {
-            wake(number);
-        }
-    });
+    schedule_at(now_ + time,
+                [this, number, incarnation = instances_[number]->incarnation] {
+                    if (instances_[number]->incarnation == incarnation) {
+                        unfreeze(number);
+                    }
+                });
 }
 
-void fleet_simulation::wake(unsigned number) {
+void fleet_simulation::unfreeze(unsigned number) {
     auto& self = *instances_[number];
     self.frozen = false;
     if (!self.running) {
         return;
     }
-    for (const auto& run : std::exchange(self.missed, {})) {
+    for (const auto& run : std::exchange(self.deferred, {})) {
         run();
     }
 }
@@ -263,92 +273,93 @@
     return peers;
 }
 
-std::pair<unsigned, unsigned> fleet_simulation::ends_of(unsigned a,
-                                                        unsigned b) {
+std::pair<unsigned, unsigned> fleet_simulation::link_key(unsigned a,
+                                                         unsigned b) {
     return std::minmax({a, b});
 }
 
-void fleet_simulation::lose_what_is_under_way(unsigned a, unsigned b) {
-    ++links_[ends_of(a, b)].number;
+void fleet_simulation::drop_in_flight(unsigned a, unsigned b) {
+    ++links_[link_key(a, b)].generation;
 }
 
 void fleet_simulation::replace_links(unsigned number) {
-    if (!may_act(number)) {
+    if (!is_active(number)) {
         return;
     }
     for (const auto peer : linked_with(number)) {
-        lose_what_is_under_way(number, peer);
+        drop_in_flight(number, peer);
         for (const auto& [here, there] :
              {std::make_pair(number, peer), std::make_pair(peer, number)}) {
             const auto name = name_of(there);
-            run_on(here, instances_[here]->life_number,
+            run_on(here, instances_[here]->incarnation,
                    [this, here = here, name] {
                        instances_[here]->exchange.link_replaced(name, now_);
-                       flush_soon(here);
+                       schedule_flush(here);
                    });
         }
     }
 }
 
-void fleet_simulation::swallow(unsigned number, duration time) {
-    if (!may_act(number)) {
+void fleet_simulation::drop_messages(unsigned number, duration time) {
+    if (!is_active(number)) {
         return;
     }
     for (const auto peer : linked_with(number)) {
-        links_[ends_of(number, peer)].swallows_until = now_ + time;
+        links_[link_key(number, peer)].drops_until = now_ + time;
     }
-    at(now_ + time, [this, number, life = instances_[number]->life_number] {
-        if (instances_[number]->life_number != life ||
+    schedule_at(now_ + time, [this, number,
+                              incarnation = instances_[number]->incarnation] {
+        if (instances_[number]->incarnation != incarnation ||
             !instances_[number]->running) {
             return;
         }
         for (const auto peer : linked_with(number)) {
-            if (links_[ends_of(number, peer)].swallows_until == now_) {
+            if (links_[link_key(number, peer)].drops_until == now_) {
                 close_link(number, peer);
             }
         }
     });
 }
 
-bool fleet_simulation::may_link(unsigned a, unsigned b) const {
-    return a != b && may_act(a) && may_act(b) &&
-           apart_.count(a) == apart_.count(b);
+bool fleet_simulation::can_link(unsigned a, unsigned b) const {
+    return a != b && is_active(a) && is_active(b) &&
+           separated_.count(a) == separated_.count(b);
 }
 
 void fleet_simulation::open_link(unsigned a, unsigned b) {
-    if (!may_link(a, b) ||
+    if (!can_link(a, b) ||
         instances_[a]->exchange.linked().count(name_of(b)) > 0) {
         return;
     }
     instances_[a]->exchange.link_up(name_of(b), now_);
     instances_[b]->exchange.link_up(name_of(a), now_);
-    flush_soon(a);
-    flush_soon(b);
+    schedule_flush(a);
+    schedule_flush(b);
 }
 
 void fleet_simulation::close_link(unsigned a, unsigned b) {
-    lose_what_is_under_way(a, b);
+    drop_in_flight(a, b);
     for (const auto& [here, there] :
          {std::make_pair(a, b), std::make_pair(b, a)}) {
         if (!instances_[here]) {
             continue;
         }
         const auto name = name_of(there);
-        run_on(here, instances_[here]->life_number, [this, here = here, name] {
+        run_on(here, instances_[here]->incarnation, [this, here = here, name] {
             instances_[here]->exchange.link_down(name, now_);
-            flush_soon(here);
+            schedule_flush(here);
         });
     }
 }
 
-void fleet_simulation::cut(const std::set<unsigned>& apart) {
-    apart_ = apart;
-    for (const auto a : apart) {
+void fleet_simulation::partition(const std::set<unsigned>& separated) {
+    separated_ = separated;
+    for (const auto a : separated) {
         if (!instances_[a] || !instances_[a]->running) {
             continue;
         }
         for (const auto peer : linked_with(a)) {
-            if (apart.count(peer) == 0) {
+            if (separated.count(peer) == 0) {
                 close_link(a, peer);
             }
         }
@@ -356,7 +367,7 @@
 }
 
 void fleet_simulation::heal() {
-    apart_.clear();
+    separated_.clear();
 }
 
 void fleet_simulation::let_platform_answer(std::function<bool(unsigned)> whom) {
@@ -386,26 +397,26 @@
     return text;
 }
 
-void fleet_simulation::take_reading(unsigned number,
+void fleet_simulation::apply_answer(unsigned number,
                                     const platform_answer& answer) {
     auto& self = *instances_[number];
-    if (self.listed_at != answer.revision) {
+    if (self.listed_revision != answer.revision) {
         std::vector<registry_record> list;
         for (const auto& each : servers_) {
             list.push_back(each.second);
         }
-        self.registry.take_list(list, answer.revision, now_);
-        self.listed_at = answer.revision;
+        self.registry.apply_list(list, answer.revision, now_);
+        self.listed_revision = answer.revision;
     }
     if (answer.version > 0) {
         self.configurations.offer({answer.version, text_of(answer.version)});
     }
     self.readers.hear(name_of(number), duration::zero(), now_);
     self.fresh.hear_platform(self.fresh.epoch());
-    flush_soon(number);
+    schedule_flush(number);
 }
 
-void fleet_simulation::follow_reader_duty(unsigned number) {
+void fleet_simulation::update_reading(unsigned number) {
     auto& self = *instances_[number];
     const bool read = self.readers.should_read(now_);
     if (read != self.reader->paused()) {
@@ -423,11 +434,11 @@
     self.exchange.tick(now_);
     self.registry.tick(now_);
     self.fresh.settle(self.members.present() > 1, now_);
-    plan(number);
-    follow_reader_duty(number);
+    plan_links(number);
+    update_reading(number);
     flush(number);
-    after(number, std::max(tick_period, self.processor - now_),
-          [this, number] { tick(number); });
+    schedule_after(number, std::max(tick_period, self.processor_free_at - now_),
+                   [this, number] { tick(number); });
 }
 
 std::set<std::string> fleet_simulation::wanted_links(const instance& of) const {
@@ -454,14 +465,14 @@
     return mesh;
 }
 
-void fleet_simulation::plan(unsigned number) {
+void fleet_simulation::plan_links(unsigned number) {
     auto& self = *instances_[number];
-    if (self.members_planned != self.members.version()) {
-        self.members_planned = self.members.version();
+    if (self.planned_members_version != self.members.version()) {
+        self.planned_members_version = self.members.version();
         const auto members = self.members.members();
         self.readers.take_members(members);
-        self.reader->set_share(share_of(platform_reads_per_second,
-                                        members.size(), self.readers.place()));
+        self.reader->set_share(read_share_for(
+            platform_reads_per_second, members.size(), self.readers.rank()));
         const auto order = reader_order(members);
         const auto end = std::min(central_count, order.size());
         self.central = {order.begin(),
@@ -472,16 +483,16 @@
     for (const auto& peer : self.wanted) {
         const auto other = numbers_.at(peer);
         if (self.exchange.linked().count(peer) == 0 &&
-            may_link(number, other)) {
-            at(now_ + link_opening,
-               [this, number, other] { open_link(number, other); });
+            can_link(number, other)) {
+            schedule_at(now_ + link_setup_time,
+                        [this, number, other] { open_link(number, other); });
         }
     }
-    dial_seeds(number);
-    drop_unwanted(number);
+    connect_to_seeds(number);
+    close_unwanted_links(number);
 }
 
-void fleet_simulation::dial_seeds(unsigned number) {
+void fleet_simulation::connect_to_seeds(unsigned number) {
     auto& self = *instances_[number];
     const auto& linked = self.exchange.linked();
     const auto members =
@@ -490,34 +501,35 @@
         });
     const auto seeds = std::min(seed_count, shape_.instances);
     for (unsigned seed = 0; seed < seeds; ++seed) {
-        if (members == 0 && may_link(number, seed)) {
+        if (members == 0 && can_link(number, seed)) {
             self.seed_links.insert(name_of(seed));
-            at(now_ + link_opening,
-               [this, number, seed] { open_link(number, seed); });
+            schedule_at(now_ + link_setup_time,
+                        [this, number, seed] { open_link(number, seed); });
         } else if (members > 1 && self.seed_links.erase(name_of(seed)) > 0) {
-            leave_seed(number, seed);
+            close_seed_link(number, seed);
         }
     }
 }
 
-// Unlike other links those with seeds close as soon as others are found.
-void fleet_simulation::leave_seed(unsigned number, unsigned seed) {
+// Unlike other links, a link with a seed closes as soon as the instance is
+// linked with other members.
+void fleet_simulation::close_seed_link(unsigned number, unsigned seed) {
     if (!is_wanted(number, seed)) {
         close_link(number, seed);
     }
 }
 
 bool fleet_simulation::is_wanted(unsigned a, unsigned b) const {
-    const auto wants = [this](unsigned one, unsigned other) {
-        const auto& of = *instances_[one];
-        return of.wanted.count(name_of(other)) > 0 ||
-               of.seed_links.count(name_of(other)) > 0;
+    const auto wants = [this](unsigned from, unsigned to) {
+        const auto& wanting = *instances_[from];
+        return wanting.wanted.count(name_of(to)) > 0 ||
+               wanting.seed_links.count(name_of(to)) > 0;
     };
     return wants(a, b) || wants(b, a);
 }
 
-// Closed once neither end has wanted the link for a while.
-void fleet_simulation::drop_unwanted(unsigned number) {
+// Closes links that neither end has wanted for a while.
+void fleet_simulation::close_unwanted_links(unsigned number) {
     auto& self = *instances_[number];
     const auto linked = self.exchange.linked();
     for (const auto& peer : linked) {
@@ -527,20 +539,20 @@
             continue;
         }
         const auto since = self.unwanted_since.emplace(peer, now_);
-        if (now_ - since.first->second >= unwanted_limit) {
+        if (now_ - since.first->second >= unwanted_link_timeout) {
             self.unwanted_since.erase(peer);
             close_link(number, other);
         }
     }
 }
 
-void fleet_simulation::flush_soon(unsigned number) {
+void fleet_simulation::schedule_flush(unsigned number) {
     auto& self = *instances_[number];
     if (self.flush_planned) {
         return;
     }
     self.flush_planned = true;
-    after(number, flush_delay, [this, number] {
+    schedule_after(number, flush_delay, [this, number] {
         instances_[number]->flush_planned = false;
         flush(number);
     });
@@ -564,70 +576,76 @@
     }
     ++traffic_.messages;
     traffic_.bytes += bytes;
-    sent_by_[from] += bytes;
+    bytes_sent_by_[from] += bytes;
     traffic_.most_bytes_of_one =
-        std::max(traffic_.most_bytes_of_one, sent_by_[from]);
-    const bool leaves = centre_of(from) != centre_of(to);
-    traffic_.bytes_between_data_centres += leaves ? bytes : 0;
-
-    sender.processor =
-        std::max(sender.processor, now_) + processing_time(sender, bytes);
-    sender.sending =
-        std::max(sender.sending, sender.processor) + link_time(sender, bytes);
-    const auto& link = links_[ends_of(from, to)];
-    if (now_ < link.swallows_until) {
+        std::max(traffic_.most_bytes_of_one, bytes_sent_by_[from]);
+    const bool leaves_data_centre = data_centre_of(from) != data_centre_of(to);
+    traffic_.bytes_between_data_centres += leaves_data_centre ? bytes : 0;
+
+    sender.processor_free_at = std::max(sender.processor_free_at, now_) +
+                               processing_time(sender, bytes);
+    sender.uplink_free_at =
+        std::max(sender.uplink_free_at, sender.processor_free_at) +
+        transmission_time(sender, bytes);
+    const auto& link = links_[link_key(from, to)];
+    if (now_ < link.drops_until) {
         return;
     }
-    const auto way = leaves ? between_data_centres : within_data_centre;
+    const auto latency = leaves_data_centre ? latency_between_data_centres
+                                            : latency_within_data_centre;
     const message sent{from,
                        to,
-                       sender.life_number,
-                       instances_[to]->life_number,
-                       link.number,
+                       sender.incarnation,
+                       instances_[to]->incarnation,
+                       link.generation,
                        std::move(body),
                        bytes};
-    at(sender.sending + way, [this, sent] { arrive(sent); });
+    schedule_at(sender.uplink_free_at + latency,
+                [this, sent] { receive(sent); });
 }
 
 duration fleet_simulation::processing_time(const instance& of,
                                            std::size_t bytes) {
-    const auto whole = cost_of_message + cost_of_byte * bytes;
+    const auto on_whole_core = cpu_time_per_message + cpu_time_per_byte * bytes;
     return std::chrono::duration_cast<duration>(
-        whole * 1000 / of.members.self().capacity.cpu_permille);
+        on_whole_core * 1000 / of.members.self().capacity.cpu_permille);
 }
 
-duration fleet_simulation::link_time(const instance& of, std::size_t bytes) {
+duration fleet_simulation::transmission_time(const instance& of,
+                                             std::size_t bytes) {
     return std::chrono::duration_cast<duration>(
         std::chrono::nanoseconds(bytes * 8000) /
         of.members.self().capacity.link_mbps);
 }
 
-// Bytes come in one after the other, and are read when the processor is free.
-void fleet_simulation::arrive(const message& sent) {
+// The bytes of messages arrive one after the other and are processed when the
+// processor is free.
+void fleet_simulation::receive(const message& sent) {
     auto& receiver = *instances_[sent.to];
-    receiver.receiving =
-        std::max(receiver.receiving, now_) + link_time(receiver, sent.bytes);
-    at(receiver.receiving, [this, sent] {
+    receiver.downlink_free_at = std::max(receiver.downlink_free_at, now_) +
+                                transmission_time(receiver, sent.bytes);
+    schedule_at(receiver.downlink_free_at, [this, sent] {
         auto& reader = *instances_[sent.to];
-        reader.processor = std::max(reader.processor, now_) +
-                           processing_time(reader, sent.bytes);
-        at(reader.processor, [this, sent] {
-            run_on(sent.to, sent.receiving_life,
+        reader.processor_free_at = std::max(reader.processor_free_at, now_) +
+                                   processing_time(reader, sent.bytes);
+        schedule_at(reader.processor_free_at, [this, sent] {
+            run_on(sent.to, sent.receiver_incarnation,
                    [this, sent] { deliver(sent); });
         });
     });
 }
 
 void fleet_simulation::deliver(const message& sent) {
-    auto& end = *instances_[sent.to];
+    auto& receiver = *instances_[sent.to];
     const auto& peer = name_of(sent.from);
     const bool same_link =
-        links_[ends_of(sent.from, sent.to)].number == sent.link &&
-        instances_[sent.from]->life_number == sent.sending_life &&
-        end.exchange.linked().count(peer) > 0;
+        links_[link_key(sent.from, sent.to)].generation ==
+            sent.link_generation &&
+        instances_[sent.from]->incarnation == sent.sender_incarnation &&
+        receiver.exchange.linked().count(peer) > 0;
     if (same_link) {
-        end.exchange.receive(peer, *sent.body, now_);
-        flush_soon(sent.to);
+        receiver.exchange.receive(peer, *sent.body, now_);
+        schedule_flush(sent.to);
     }
 }
 
@@ -637,32 +655,32 @@
 
 duration fleet_simulation::run_until(const std::function<bool()>& holds,
                                      duration limit) {
-    constexpr duration look = std::chrono::milliseconds(20);
-    const auto began = now_;
-    auto next_look = now_ + look;
-    while (now_ - began < limit) {
-        while (!events_.empty() && events_.top().at <= next_look) {
+    constexpr duration check_interval = std::chrono::milliseconds(20);
+    const auto started_at = now_;
+    auto next_check = now_ + check_interval;
+    while (now_ - started_at < limit) {
+        while (!events_.empty() && events_.top().due <= next_check) {
             auto next = events_.top();
             events_.pop();
-            now_ = std::max(now_, next.at);
+            now_ = std::max(now_, next.due);
             next.run();
         }
-        now_ = next_look;
-        next_look += look;
+        now_ = next_check;
+        next_check += check_interval;
         if (holds()) {
             break;
         }
     }
-    return now_ - began;
+    return now_ - started_at;
 }
 
-unsigned fleet_simulation::running() const {
+unsigned fleet_simulation::running_count() const {
     return static_cast<unsigned>(
         std::count_if(instances_.begin(), instances_.end(),
                       [](const auto& each) { return each && each->running; }));
 }
 
-unsigned fleet_simulation::with_whole_registry() const {
+unsigned fleet_simulation::count_with_complete_registry() const {
     return static_cast<unsigned>(std::count_if(
         instances_.begin(), instances_.end(), [this](const auto& each) {
             return each && each->running &&
@@ -688,7 +706,7 @@
     const auto& self = *instances_[number];
     seen.running = true;
     seen.frozen = self.frozen;
-    seen.life = self.life_number;
+    seen.life = self.incarnation;
     seen.revision = self.configurations.revision();
     seen.named = self.exchange.files().named();
     seen.introduced = self.exchange.introduced();
@@ -702,11 +720,10 @@
     while (!next.empty()) {
         const auto each = next.back();
         next.pop_back();
-        if (may_act(each) && reached.insert(each).second) {
+        if (is_active(each) && reached.insert(each).second) {
             for (const auto peer : linked_with(each)) {
-                const auto link = links_.find(ends_of(each, peer));
-                if (link == links_.end() ||
-                    link->second.swallows_until <= now_) {
+                const auto link = links_.find(link_key(each, peer));
+                if (link == links_.end() || link->second.drops_until <= now_) {
                     next.push_back(peer);
                 }
             }
@@ -715,8 +732,8 @@
     return reached;
 }
 
-unsigned fleet_simulation::with_all_members() const {
-    const auto whole = [this](const auto& each) {
+unsigned fleet_simulation::count_with_complete_membership() const {
+    const auto is_complete = [this](const auto& each) {
         if (!each || !each->running) {
             return false;
         }
@@ -725,20 +742,21 @@
             std::count_if(members.begin(), members.end(), [](const auto& one) {
                 return one.state == member_state::alive;
             }));
-        return alive == running() &&
-               std::all_of(
-                   members.begin(), members.end(), [&](const auto& one) {
-                       const auto& real = instances_[numbers_.at(one.id.name)];
-                       return one.state != member_state::alive ||
-                              (real->running &&
-                               real->members.self().id == one.id);
-                   });
+        return alive == running_count() &&
+               std::all_of(members.begin(), members.end(),
+                           [&](const auto& one) {
+                               const auto& actual =
+                                   instances_[numbers_.at(one.id.name)];
+                               return one.state != member_state::alive ||
+                                      (actual->running &&
+                                       actual->members.self().id == one.id);
+                           });
     };
     return static_cast<unsigned>(
-        std::count_if(instances_.begin(), instances_.end(), whole));
+        std::count_if(instances_.begin(), instances_.end(), is_complete));
 }
 
-unsigned fleet_simulation::that_know(const std::string& server) const {
+unsigned fleet_simulation::count_knowing(const std::string& server) const {
     return static_cast<unsigned>(std::count_if(
         instances_.begin(), instances_.end(), [&server](const auto& each) {
             return each && each->running &&
@@ -746,9 +764,9 @@
         }));
 }
 
-void fleet_simulation::forget_traffic() {
+void fleet_simulation::reset_traffic() {
     traffic_ = {};
-    std::fill(sent_by_.begin(), sent_by_.end(), 0);
+    std::fill(bytes_sent_by_.begin(), bytes_sent_by_.end(), 0);
 }
 
 } // namespace waxwingvale
--- a/test/membership/membership_model_test.cpp
+++ b/test/membership/membership_model_test.cpp
@@ -10,8 +10,8 @@
 
 constexpr unsigned instance_count = 4;
 
-// Broken on purpose: takes whatever word comes last.
-class last_word_wins : public membership::member_precedence {
+// Deliberately wrong: accepts whichever record arrives last.
+class last_record_wins : public membership::member_precedence {
 public:
     bool supersedes(const membership::member_record& candidate,
                     const membership::member_record& known) const override {
@@ -49,7 +49,7 @@
 
 namespace waxwingvale {
 
-// The name is the library's.
+// RapidCheck requires this name.
 void showValue( // NOLINT(readability-identifier-naming)
     const world_event& event, std::ostream& out) {
     out << "step " << static_cast<int>(event.step) << " at " << event.instance
@@ -58,20 +58,20 @@
 
 } // namespace waxwingvale
 
-TEST_CASE("after any faults all agree on who runs, in which life") {
-    // Instances crash, are replaced, sleep and lose each other while messages
-    // arrive late, twice or never. If afterwards two of them had different
-    // members, they would hand out the same slots twice, or steer callers to
-    // instances that are no more.
+TEST_CASE("after any faults all instances agree on members and incarnations") {
+    // Guards against two instances that permanently know different members:
+    // they would assign the same slots twice, or steer callers to instances
+    // that no longer exist. Instances crash, are replaced, are suspended and
+    // lose their links, while messages arrive late, twice or never.
     CHECK(rc::check("latest assertion wins", [] {
         run_schedule(std::make_shared<membership::latest_assertion_wins>());
     }));
 }
 
-TEST_CASE("the checker catches members that believe the last word") {
-    // The same schedules against a rule that is known to be wrong: late word
-    // of a former life brings it back.
-    CHECK_FALSE(rc::check("last word wins (must be falsified)", [] {
-        run_schedule(std::make_shared<last_word_wins>());
+TEST_CASE("the membership model detects a rule that accepts the last record") {
+    // Runs the same kind of schedules against a rule that is known to be wrong:
+    // a late record of an earlier incarnation restores that incarnation.
+    CHECK_FALSE(rc::check("last record wins (must be falsified)", [] {
+        run_schedule(std::make_shared<last_record_wins>());
     }));
 }
--- a/test/membership/membership_world.cpp
+++ b/test/membership/membership_world.cpp
@@ -11,7 +11,7 @@
 
 constexpr duration tick = std::chrono::milliseconds(100);
 constexpr duration settling_time = std::chrono::seconds(100);
-constexpr duration wake_gap = std::chrono::seconds(1);
+constexpr duration suspension_gap = std::chrono::seconds(1);
 
 result<configuration> validate(const configuration_text& file) {
     configuration parsed;
@@ -38,7 +38,7 @@
              std::shared_ptr<const member_precedence> rule, time_point now)
         : members(self, {}, now, std::move(rule)),
           readers(self.id.name, 0, false, {}, now),
-          fresh(wake_gap, now),
+          fresh(suspension_gap, now),
           exchange(
               {configurations, members, beliefs, registry, quarantine, readers},
               fresh, {}, incarnation, now) {
@@ -55,8 +55,8 @@
     peer_exchange exchange;
     bool paused = false;
     bool crashed = false;
-    // What this instance knew at the last look.
-    std::map<std::string, member_record> seen;
+    // This instance's records at the last check.
+    std::map<std::string, member_record> last_seen;
 };
 
 membership_world::membership_world(
@@ -73,11 +73,11 @@
     return "sea-" + std::to_string(number);
 }
 
-bool membership_world::joined(unsigned a, unsigned b) const {
+bool membership_world::can_link(unsigned a, unsigned b) const {
     const auto runs = [this](unsigned number) {
         return instances_[number] && !instances_[number]->crashed;
     };
-    return a != b && runs(a) && runs(b) && cut_.count(pair_of(a, b)) == 0;
+    return a != b && runs(a) && runs(b) && cut_links_.count(pair_of(a, b)) == 0;
 }
 
 void membership_world::start(unsigned number) {
@@ -93,7 +93,7 @@
     all.insert(name_of(number));
     instances_[number]->exchange.plan(others, std::move(all), now_);
     for (unsigned each = 0; each < instances_.size(); ++each) {
-        if (joined(number, each)) {
+        if (can_link(number, each)) {
             set_link(number, each, true);
         }
     }
@@ -111,13 +111,13 @@
         } else {
             end.exchange.link_down(name_of(other), now_);
         }
-        collect(at);
+        collect_messages(at);
     }
 }
 
-void membership_world::stop(unsigned number) {
+void membership_world::crash(unsigned number) {
     for (unsigned each = 0; each < instances_.size(); ++each) {
-        if (joined(number, each)) {
+        if (can_link(number, each)) {
             instances_[each]->exchange.link_down(name_of(number), now_);
         }
     }
@@ -126,20 +126,20 @@
     const auto concerns = [number](const message& each) {
         return each.to == number;
     };
-    under_way_.erase(
-        std::remove_if(under_way_.begin(), under_way_.end(), concerns),
-        under_way_.end());
+    in_flight_.erase(
+        std::remove_if(in_flight_.begin(), in_flight_.end(), concerns),
+        in_flight_.end());
 }
 
-void membership_world::wake(unsigned number) {
-    auto& woken = *instances_[number];
-    if (!woken.paused) {
+void membership_world::resume(unsigned number) {
+    auto& resumed = *instances_[number];
+    if (!resumed.paused) {
         return;
     }
-    woken.paused = false;
-    if (woken.fresh.beat(now_)) {
-        woken.exchange.woke_late(now_);
-        collect(number);
+    resumed.paused = false;
+    if (resumed.fresh.beat(now_)) {
+        resumed.exchange.woke_late(now_);
+        collect_messages(number);
     }
 }
 
@@ -148,18 +148,18 @@
     const auto number = event.instance % count;
     const auto other = event.choice % count;
     auto& target = *instances_[number];
-    const auto place =
-        under_way_.empty() ? 0 : event.choice % under_way_.size();
+    const auto index =
+        in_flight_.empty() ? 0 : event.choice % in_flight_.size();
     switch (event.step) {
     case world_step::pass_time:
         pass_time(tick * (1 + event.choice));
         break;
     case world_step::crash:
         if (!target.crashed) {
-            stop(number);
+            crash(number);
         }
         break;
-    case world_step::start_again:
+    case world_step::restart:
         if (target.crashed) {
             start(number);
         }
@@ -167,72 +167,73 @@
     case world_step::pause:
         target.paused = !target.crashed;
         break;
-    case world_step::wake:
-        wake(number);
+    case world_step::resume:
+        resume(number);
         break;
-    case world_step::cut:
-        if (joined(number, other)) {
+    case world_step::cut_link:
+        if (can_link(number, other)) {
             set_link(number, other, false);
-            cut_.insert(pair_of(number, other));
+            cut_links_.insert(pair_of(number, other));
         }
         break;
-    case world_step::heal:
-        if (cut_.erase(pair_of(number, other)) > 0 && joined(number, other)) {
+    case world_step::restore_link:
+        if (cut_links_.erase(pair_of(number, other)) > 0 &&
+            can_link(number, other)) {
             set_link(number, other, true);
         }
         break;
     case world_step::leave:
         if (!target.crashed && !target.paused) {
             target.members.leave();
-            collect(number);
+            collect_messages(number);
         }
         break;
     case world_step::deliver:
-    case world_step::deliver_doubled:
-        if (!under_way_.empty()) {
-            deliver(place, event.step == world_step::deliver_doubled);
+    case world_step::deliver_duplicate:
+        if (!in_flight_.empty()) {
+            deliver(index, event.step == world_step::deliver_duplicate);
         }
         break;
-    case world_step::lose:
-        if (!under_way_.empty()) {
-            under_way_.erase(under_way_.begin() +
-                             static_cast<std::ptrdiff_t>(place));
+    case world_step::drop:
+        if (!in_flight_.empty()) {
+            in_flight_.erase(in_flight_.begin() +
+                             static_cast<std::ptrdiff_t>(index));
         }
         break;
     }
 }
 
-void membership_world::deliver(std::size_t place, bool keep) {
-    const auto at = under_way_.begin() + static_cast<std::ptrdiff_t>(place);
+void membership_world::deliver(std::size_t index, bool keep) {
+    const auto at = in_flight_.begin() + static_cast<std::ptrdiff_t>(index);
     const message sent = *at;
     auto& to = *instances_[sent.to];
     if (to.paused) {
         return;
     }
     if (!keep) {
-        under_way_.erase(at);
+        in_flight_.erase(at);
     }
     if (!to.crashed) {
         to.exchange.receive(name_of(sent.from), sent.body, now_);
-        collect(sent.to);
-        check(sent.to);
+        collect_messages(sent.to);
+        check_invariants(sent.to);
     }
 }
 
 void membership_world::deliver_all() {
-    // Messages beget messages; each round is one way.
-    for (int rounds = 0; rounds < 50 && !under_way_.empty(); ++rounds) {
-        for (auto waiting = under_way_.size(); waiting > 0; --waiting) {
+    // Delivered messages cause replies; each round delivers one direction.
+    for (int rounds = 0; rounds < 50 && !in_flight_.empty(); ++rounds) {
+        for (auto waiting = in_flight_.size(); waiting > 0; --waiting) {
             deliver(0, false);
         }
     }
 }
 
-void membership_world::collect(unsigned number) {
+void membership_world::collect_messages(unsigned number) {
     for (auto& each : instances_[number]->exchange.take_messages(now_)) {
         for (unsigned to = 0; to < instances_.size(); ++to) {
-            if (each.peer == name_of(to) && joined(number, to)) {
-                under_way_.push_back({number, to, *each.message});
+            if (each.peer == name_of(to) && can_link(number, to)) {
+                in_flight_.push_back({number, to, *each.message});
                 break;
             }
         }
@@ -249,39 +250,40 @@
             }
             at.fresh.beat(now_);
             at.exchange.tick(now_);
-            collect(each);
-            check(each);
+            collect_messages(each);
+            check_invariants(each);
         }
     }
 }
 
-void membership_world::check(unsigned number) {
+void membership_world::check_invariants(unsigned number) {
     auto& at = *instances_[number];
     for (unsigned each = 0; each < instances_.size(); ++each) {
         const auto* known = at.members.find(name_of(each));
-        const auto before = at.seen.find(name_of(each));
+        const auto before = at.last_seen.find(name_of(each));
         if (known == nullptr) {
             continue;
         }
-        if (before != at.seen.end()) {
-            const auto& former = before->second;
-            if (known->id.incarnation < former.id.incarnation) {
-                violation_ = "a former life came back";
+        if (before != at.last_seen.end()) {
+            const auto& previous = before->second;
+            if (known->id.incarnation < previous.id.incarnation) {
+                violation_ = "an earlier incarnation was restored";
             }
-            if (known->id == former.id && former.leaving && !known->leaving) {
-                violation_ = "leaving was taken back";
+            if (known->id == previous.id && previous.leaving &&
+                !known->leaving) {
+                violation_ = "a leaving mark was reset";
             }
         }
-        at.seen[name_of(each)] = *known;
+        at.last_seen[name_of(each)] = *known;
     }
 }
 
 void membership_world::settle() {
     for (unsigned each = 0; each < instances_.size(); ++each) {
-        wake(each);
+        resume(each);
     }
-    for (const auto& pair : std::exchange(cut_, {})) {
-        if (joined(pair.first, pair.second)) {
+    for (const auto& pair : std::exchange(cut_links_, {})) {
+        if (can_link(pair.first, pair.second)) {
             set_link(pair.first, pair.second, true);
         }
     }
@@ -298,32 +300,32 @@
             continue;
         }
         if (!instances_[at]->fresh.fresh() && instances_.size() > 1) {
-            bool alone = true;
+            bool isolated = true;
             for (unsigned each = 0; each < instances_.size(); ++each) {
-                alone = alone && !joined(at, each);
+                isolated = isolated && !can_link(at, each);
             }
-            if (!alone) {
+            if (!isolated) {
                 return name_of(at) + " is not fresh";
             }
         }
         for (unsigned of = 0; of < instances_.size(); ++of) {
-            const auto& real = *instances_[of];
+            const auto& actual = *instances_[of];
             const auto* known = instances_[at]->members.find(name_of(of));
-            const auto line = name_of(at) + " about " + name_of(of);
-            if (real.crashed) {
+            const auto subject = name_of(at) + " about " + name_of(of);
+            if (actual.crashed) {
                 if (known != nullptr && known->life != liveness::gone) {
-                    return line + ": crashed, but not gone";
+                    return subject + ": crashed, but not known as gone";
                 }
                 continue;
             }
             if (known == nullptr || known->life != liveness::alive) {
-                return line + ": runs, but not alive";
+                return subject + ": running, but not known as alive";
             }
-            if (known->id != real.members.self().id) {
-                return line + ": another life";
+            if (known->id != actual.members.self().id) {
+                return subject + ": known with another incarnation";
             }
-            if (known->leaving != real.members.self().leaving) {
-                return line + ": leaving differs";
+            if (known->leaving != actual.members.self().leaving) {
+                return subject + ": leaving differs";
             }
         }
     }
--- a/test/membership/membership_world.hpp
+++ b/test/membership/membership_world.hpp
@@ -16,15 +16,15 @@
 enum class world_step {
     pass_time,
     crash,
-    start_again, // a new incarnation, if it had crashed
-    pause,       // hears and says nothing, keeps what it knows
-    wake,
-    cut, // the link between two breaks
-    heal,
+    restart, // with a new incarnation, if the instance has crashed
+    pause,   // the process is suspended and keeps its state
+    resume,
+    cut_link, // between two instances
+    restore_link,
     leave,
-    deliver, // any message under way
-    deliver_doubled,
-    lose
+    deliver,           // any message in flight
+    deliver_duplicate, // and keep the message in flight
+    drop               // any message in flight
 };
 constexpr unsigned world_step_count = 11;
 
@@ -34,8 +34,8 @@
     unsigned choice;
 };
 
-// Entry instances with all that they know of each other, and a network between
-// them that reorders, doubles and loses.
+// Simulates entry instances with all their tables, and a network between them
+// that reorders, duplicates and drops messages.
 class membership_world {
 public:
     membership_world(unsigned instances,
@@ -43,11 +43,12 @@
     ~membership_world();
 
     void run(const world_event& event);
-    // Ends all faults but crashes, and lets 100 seconds pass.
+    // Ends all faults except crashes, then runs for 100 seconds.
     void settle();
     const std::optional<std::string>& violation() const { return violation_; }
-    // After settle(): all that run agree that exactly they run, in their
-    // present lives, and have heard of each other since they woke.
+    // After settle(): returns a difference, unless all running instances agree
+    // that exactly they are alive, in their present incarnations, and unless
+    // all have caught up with their peers since they were resumed.
     std::optional<std::string> disagreement() const;
 
 private:
@@ -60,20 +61,20 @@
 
     std::string name_of(unsigned number) const;
     void start(unsigned number);
-    void stop(unsigned number);
-    void wake(unsigned number);
+    void crash(unsigned number);
+    void resume(unsigned number);
     void set_link(unsigned a, unsigned b, bool up);
-    bool joined(unsigned a, unsigned b) const;
+    bool can_link(unsigned a, unsigned b) const;
     void pass_time(duration time);
-    void collect(unsigned number);
-    void deliver(std::size_t place, bool keep);
+    void collect_messages(unsigned number);
+    void deliver(std::size_t index, bool keep);
     void deliver_all();
-    void check(unsigned number);
+    void check_invariants(unsigned number);
 
     std::shared_ptr<const membership::member_precedence> rule_;
     std::vector<std::unique_ptr<instance>> instances_;
-    std::set<std::pair<unsigned, unsigned>> cut_;
-    std::deque<message> under_way_;
+    std::set<std::pair<unsigned, unsigned>> cut_links_;
+    std::deque<message> in_flight_;
     std::uint64_t wall_clock_ = 1000;
     time_point now_{};
     std::optional<std::string> violation_;
--- a/test/membership/reader_duty_test.cpp
+++ b/test/membership/reader_duty_test.cpp
@@ -22,63 +22,66 @@
     return all;
 }
 
-// The instance at that place of the order, long after its start.
-reader_duty duty_at(std::size_t place, const std::vector<member>& all) {
-    reader_duty duty(reader_order(all).at(place), 1, true, {}, start);
+// The duty of the instance with this rank in the order of readers.
+reader_duty duty_of_rank(std::size_t rank, const std::vector<member>& all) {
+    reader_duty duty(reader_order(all).at(rank), 1, true, {}, start);
     duty.take_members(all);
     return duty;
 }
 
 } // namespace
 
-TEST_CASE("an instance reads when the reader falls silent, and stops after") {
+TEST_CASE("an instance takes over from a silent reader and later stops") {
     const auto all = members(3);
     const auto order = reader_order(all);
-    auto second = duty_at(1, all);
+    auto second = duty_of_rank(1, all);
     second.hear(order[0], 0s, start + 1s);
     CHECK_FALSE(second.should_read(start + 1500ms));
     CHECK(second.should_read(start + 2s));
     second.hear(order[1], 0s, start + 2100ms);
     second.hear(order[0], 0s, start + 2200ms);
-    // The reader may fail again: whoever does read goes on for a while.
+    // The first reader may fail again, so the instance continues for a while.
     CHECK(second.should_read(start + 2200ms));
     second.hear(order[0], 0s, start + 6s);
     CHECK_FALSE(second.should_read(start + 6s));
 }
 
-TEST_CASE("whoever has read nothing stops as soon as another has") {
-    // The platform was silent for everybody, all 128 instances began to ask
-    // it, and one is answered first. Each of the others would read everything
-    // as well, and watch it for seconds, at a price for every call.
+TEST_CASE("an instance that has read nothing stops once another has read") {
+    // Guards against needless reads, each of which is paid for, after an outage
+    // of the platform. All 128 instances have started to read, one is answered
+    // first, and each of the others would also read everything and watch it for
+    // seconds.
     const auto all = members(128);
     const auto order = reader_order(all);
-    auto last = duty_at(100, all);
+    auto last = duty_of_rank(100, all);
     last.hear(order[0], 0s, start + 1s);
     REQUIRE(last.should_read(start + 4s));
     last.hear(order[3], 0s, start + 5s);
     CHECK_FALSE(last.should_read(start + 5s));
-    // Word that is old already says that its reader is lost too.
-    auto other = duty_at(100, all);
+    // An update that is already stale means that its reader has failed too.
+    auto other = duty_of_rank(100, all);
     REQUIRE(other.should_read(start + 4s));
     other.hear(order[3], 2s, start + 5s);
     CHECK(other.should_read(start + 5s));
 }
 
-TEST_CASE("one that comes earlier relieves, though the first is turned away") {
-    // The platform refuses a third of the machines for nine seconds, the first
-    // reader among them. The next in the order reads for all, and the others
-    // that had begun must not go on as long as the first is away.
+TEST_CASE(
+    "any reader of lower rank lets an instance stop, not only the first") {
+    // Guards against instances that read for as long as the first reader
+    // cannot. The platform refuses a third of the machines for nine seconds,
+    // the first reader among them. The next one in the order reads for all, so
+    // the others that had started must stop.
     const auto all = members(20);
     const auto order = reader_order(all);
-    auto later = duty_at(10, all);
+    auto later = duty_of_rank(10, all);
     REQUIRE(later.should_read(start + 3s));
     later.hear(order[10], 0s, start + 3100ms);
     for (auto now = start + 3200ms; now <= start + 7s; now += 300ms) {
         later.hear(order[1], 0s, now);
     }
     CHECK_FALSE(later.should_read(start + 7s));
-    // Word of one further down relieves nobody before it.
-    auto earlier = duty_at(2, all);
+    // An update from an instance of higher rank does not let an instance stop.
+    auto earlier = duty_of_rank(2, all);
     REQUIRE(earlier.should_read(start + 3s));
     for (auto now = start + 3200ms; now <= start + 7s; now += 300ms) {
         earlier.hear(order[15], 0s, now);
--- a/test/membership/simulated_platform.cpp
+++ b/test/membership/simulated_platform.cpp
@@ -7,31 +7,33 @@
 
 namespace {
 
-// An answer may have been under way, and is passed on.
-constexpr duration word_kept = std::chrono::seconds(3);
+// After the staleness changes, answers with the previous one may still be in
+// flight or be passed on between instances for this long.
+constexpr duration staleness_carry_over = std::chrono::seconds(3);
 
 } // namespace
 
-simulated_platform::simulated_platform(const time_point& now, scheduler at,
-                                       duration longest_watch)
+simulated_platform::simulated_platform(const time_point& now,
+                                       scheduler schedule_at,
+                                       duration watch_timeout)
     : now_(now),
-      at_(std::move(at)),
-      longest_watch_(longest_watch),
+      schedule_at_(std::move(schedule_at)),
+      watch_timeout_(watch_timeout),
       answered_([](unsigned) { return true; }),
       delay_(usual_delay) {}
 
 void simulated_platform::publish_configuration() {
     published_.push_back(now_);
-    change();
+    add_change();
 }
 
 void simulated_platform::change_servers() {
-    change();
+    add_change();
 }
 
-void simulated_platform::change() {
+void simulated_platform::add_change() {
     changes_.push_back(now_);
-    at_(now_ + word_age_, [this] { answer_watches(); });
+    schedule_at_(now_ + staleness_, [this] { answer_watches(); });
 }
 
 std::uint64_t simulated_platform::version_before(duration age) const {
@@ -45,72 +47,78 @@
                                        : duration::zero();
 }
 
-void simulated_platform::set_word_age(duration age) {
-    former_word_age_ = word_age_;
-    word_age_changed_ = now_;
-    word_age_ = age;
+void simulated_platform::set_staleness(duration staleness) {
+    previous_staleness_ = staleness_;
+    staleness_changed_at_ = now_;
+    staleness_ = staleness;
 }
 
 duration simulated_platform::oldest_word() const {
-    const bool kept = now_ - word_age_changed_ < word_kept;
-    return kept ? std::max(former_word_age_, word_age_) : word_age_;
+    const bool carries_over =
+        now_ - staleness_changed_at_ < staleness_carry_over;
+    return carries_over ? std::max(previous_staleness_, staleness_)
+                        : staleness_;
 }
 
-// The newest revision that is told.
-std::uint64_t simulated_platform::visible() const {
+// The newest revision that answers contain.
+std::uint64_t simulated_platform::visible_revision() const {
     const auto end =
-        std::upper_bound(changes_.begin(), changes_.end(), now_ - word_age_);
+        std::upper_bound(changes_.begin(), changes_.end(), now_ - staleness_);
     return static_cast<std::uint64_t>(end - changes_.begin()) + 1;
 }
 
-void simulated_platform::ask(unsigned instance,
-                             std::optional<std::uint64_t> after,
-                             handler on_answer) {
-    ++reads_;
-    at_(now_ + delay_, [this, instance, after, to = std::move(on_answer)] {
-        take(instance, after, to);
+void simulated_platform::read(unsigned instance,
+                              std::optional<std::uint64_t> after_revision,
+                              answer_handler on_answer) {
+    ++read_count_;
+    schedule_at_(now_ + delay_, [this, instance, after_revision,
+                                 handler = std::move(on_answer)] {
+        handle_read(instance, after_revision, handler);
     });
 }
 
-void simulated_platform::take(unsigned instance,
-                              std::optional<std::uint64_t> after,
-                              const handler& on_answer) {
+void simulated_platform::handle_read(
+    unsigned instance, std::optional<std::uint64_t> after_revision,
+    const answer_handler& on_answer) {
     if (!answered_(instance)) {
-        if (refuses_) {
-            at_(now_ + delay_, [on_answer] {
+        if (refuses_others_) {
+            schedule_at_(now_ + delay_, [on_answer] {
                 on_answer({platform_answer::kind::refused, 0, 0});
             });
         }
         return;
     }
-    if (after && *after < forgotten_) {
+    if (after_revision && *after_revision < history_start_) {
         answer(instance, on_answer, {platform_answer::kind::gone, 0, 0});
-    } else if (!after || visible() > *after) {
+    } else if (!after_revision || visible_revision() > *after_revision) {
         answer(instance, on_answer,
-               {platform_answer::kind::value, visible(),
-                version_before(word_age_)});
+               {platform_answer::kind::value, visible_revision(),
+                version_before(staleness_)});
     } else {
-        const auto number = ++asked_;
-        watches_[number] = {instance, *after, on_answer};
-        at_(now_ + longest_watch_, [this, number] { end_watch(number); });
+        const auto number = ++watch_count_;
+        watches_[number] = {instance, *after_revision, on_answer};
+        schedule_at_(now_ + watch_timeout_,
+                     [this, number] { end_watch(number); });
     }
 }
 
-void simulated_platform::answer(unsigned instance, const handler& to,
-                                const platform_answer& what) {
+void simulated_platform::answer(unsigned instance,
+                                const answer_handler& on_answer,
+                                const platform_answer& content) {
     if (answered_(instance)) {
-        at_(now_ + delay_, [to, what] { to(what); });
+        schedule_at_(now_ + delay_,
+                     [on_answer, content] { on_answer(content); });
     }
 }
 
 void simulated_platform::answer_watches() {
     for (auto at = watches_.begin(); at != watches_.end();) {
         const auto& each = at->second;
-        const bool due = visible() > each.after;
+        const bool due = visible_revision() > each.after_revision;
         if (due) {
             answer(each.instance, each.on_answer,
-                   {platform_answer::kind::value, visible(),
-                    version_before(word_age_)});
+                   {platform_answer::kind::value, visible_revision(),
+                    version_before(staleness_)});
         }
         at = due ? watches_.erase(at) : std::next(at);
     }
@@ -119,9 +127,9 @@
 void simulated_platform::end_watch(std::uint64_t number) {
     const auto found = watches_.find(number);
     if (found != watches_.end()) {
-        const auto& of = found->second;
-        answer(of.instance, of.on_answer,
-               {platform_answer::kind::unchanged, of.after, 0});
+        const auto& ended = found->second;
+        answer(ended.instance, ended.on_answer,
+               {platform_answer::kind::unchanged, ended.after_revision, 0});
         watches_.erase(found);
     }
 }
--- a/test/membership/simulated_platform.hpp
+++ b/test/membership/simulated_platform.hpp
@@ -11,83 +11,91 @@
 namespace waxwingvale {
 
 struct platform_answer {
-    // Gone: the history to watch from is no longer known.
-    enum class kind { value, unchanged, gone, refused } what = kind::value;
-    std::uint64_t revision = 0; // to watch from
+    // `gone`: the history since the requested revision is no longer available.
+    enum class kind { value, unchanged, gone, refused } outcome = kind::value;
+    std::uint64_t revision = 0; // from which to watch
     std::uint64_t version = 0;  // of the configuration
 };
 
-// The platform as the instances of a simulated fleet reach it: what was
-// published, and what is wrong with it.
+// The platform of a simulated fleet: the published configurations, the number
+// of other changes, and the faults that are injected into it.
 class simulated_platform {
 public:
     using scheduler = std::function<void(time_point, std::function<void()>)>;
-    using handler = std::function<void(const platform_answer&)>;
-    using choice = std::function<bool(unsigned)>;
-    // Each way.
+    using answer_handler = std::function<void(const platform_answer&)>;
+    using instance_filter = std::function<bool(unsigned)>;
+    // In each direction.
     static constexpr duration usual_delay = std::chrono::milliseconds(4);
 
-    simulated_platform(const time_point& now, scheduler at,
-                       duration longest_watch);
+    simulated_platform(const time_point& now, scheduler schedule_at,
+                       duration watch_timeout);
 
     void publish_configuration();
     void change_servers();
     std::uint64_t version() const { return published_.size(); }
-    // What had been published so long ago.
+    // The configuration version that was the newest one `age` ago.
     std::uint64_t version_before(duration age) const;
-    // How long ago that version was replaced; zero: it is the newest.
+    // The time since the version was replaced; zero if it is the newest.
     duration age_of_next(std::uint64_t version) const;
     std::uint64_t revision() const { return changes_.size() + 1; }
 
-    // A list, or a watch of what comes after a revision. May never answer.
-    void ask(unsigned instance, std::optional<std::uint64_t> after,
-             handler on_answer);
+    // Reads the list, or watches for changes after a revision. The handler may
+    // never be called.
+    void read(unsigned instance, std::optional<std::uint64_t> after_revision,
+              answer_handler on_answer);
 
-    // How often it was asked for anything, in vain included.
-    std::uint64_t reads() const { return reads_; }
+    // The number of reads, unanswered ones included.
+    std::uint64_t read_count() const { return read_count_; }
 
-    // Others get no answer, or a refusal at once.
-    void answer_only(choice whom) { answered_ = std::move(whom); }
-    void refuse_the_others(bool refuses) { refuses_ = refuses; }
+    // The platform answers the instances that the filter accepts. The others
+    // get no answer, or are refused at once.
+    void answer_only(instance_filter answered) {
+        answered_ = std::move(answered);
+    }
+    void refuse_the_others(bool refuses) { refuses_others_ = refuses; }
     bool answers(unsigned instance) const { return answered_(instance); }
     void set_delay(duration delay) { delay_ = delay; }
-    // Answers tell what was known so long ago.
-    void set_word_age(duration age);
-    // How old its word was at most in the last seconds.
+    // Answers contain the state of this long ago.
+    void set_staleness(duration staleness);
+    // The largest staleness of answers that instances may have received or
+    // passed on in the last 3 s.
     duration oldest_word() const;
-    void forget_history() { forgotten_ = revision(); }
+    // Ends the history at the present revision: watches of earlier revisions
+    // are answered with `gone`.
+    void truncate_history() { history_start_ = revision(); }
 
 private:
     struct watch {
         unsigned instance;
-        std::uint64_t after;
-        handler on_answer;
+        std::uint64_t after_revision;
+        answer_handler on_answer;
     };
 
-    void change();
-    std::uint64_t visible() const;
-    void answer(unsigned instance, const handler& to,
-                const platform_answer& what);
-    void take(unsigned instance, std::optional<std::uint64_t> after,
-              const handler& on_answer);
+    void add_change();
+    std::uint64_t visible_revision() const;
+    void answer(unsigned instance, const answer_handler& on_answer,
+                const platform_answer& content);
+    void handle_read(unsigned instance,
+                     std::optional<std::uint64_t> after_revision,
+                     const answer_handler& on_answer);
     void answer_watches();
     void end_watch(std::uint64_t number);
 
     const time_point& now_;
-    scheduler at_;
-    duration longest_watch_;
+    scheduler schedule_at_;
+    duration watch_timeout_;
     std::vector<time_point> published_; // configurations, from version 1 on
-    std::vector<time_point> changes_;   // of anything, from revision 2 on
-    std::uint64_t forgotten_ = 0;
+    std::vector<time_point> changes_;   // all changes, from revision 2 on
+    std::uint64_t history_start_ = 0;
     std::map<std::uint64_t, watch> watches_;
-    std::uint64_t asked_ = 0;
-    std::uint64_t reads_ = 0;
-    choice answered_;
-    bool refuses_ = false;
+    std::uint64_t watch_count_ = 0;
+    std::uint64_t read_count_ = 0;
+    instance_filter answered_;
+    bool refuses_others_ = false;
     duration delay_;
-    duration word_age_{};
-    duration former_word_age_{};
-    time_point word_age_changed_{};
+    duration staleness_{};
+    duration previous_staleness_{};
+    time_point staleness_changed_at_{};
 };
 
 } // namespace waxwingvale
--- a/test/membership/simulated_reader.cpp
+++ b/test/membership/simulated_reader.cpp
@@ -6,22 +6,22 @@
 
 namespace {
 
-constexpr duration answer_within = std::chrono::milliseconds(400);
+constexpr duration answer_timeout = std::chrono::milliseconds(400);
 
 } // namespace
 
-simulated_reader::simulated_reader(surroundings around, duration watch,
+simulated_reader::simulated_reader(callbacks calls, duration watch_timeout,
                                    std::uint64_t seed)
-    : around_(std::move(around)),
-      longest_watch_(watch),
-      budget_({}, seed, around_.now()) {}
+    : calls_(std::move(calls)),
+      watch_timeout_(watch_timeout),
+      budget_({}, seed, calls_.now()) {}
 
 void simulated_reader::set_share(membership::read_share share) {
-    budget_.set_share(share, around_.now());
+    budget_.set_share(share, calls_.now());
 }
 
 void simulated_reader::read_again() {
-    listed_.reset();
+    known_revision_.reset();
     read_when_allowed();
 }
 
@@ -33,53 +33,54 @@
 }
 
 void simulated_reader::read_when_allowed() {
-    awaited_ = ++reads_;
+    current_read_ = ++read_count_;
     if (paused_) {
         return;
     }
-    around_.after(budget_.wait_before_read(around_.now()),
-                  [this, planned = awaited_] {
-                      if (awaited_ == planned && !paused_) {
-                          read();
-                      }
-                  });
+    calls_.schedule_after(budget_.wait_before_read(calls_.now()),
+                          [this, planned = current_read_] {
+                              if (current_read_ == planned && !paused_) {
+                                  read();
+                              }
+                          });
 }
 
 void simulated_reader::read() {
-    budget_.take(around_.now());
-    const auto under_way = awaited_ = ++reads_;
-    const auto limit = answer_within + (listed_ ? longest_watch_ : duration());
-    around_.after(limit, [this, under_way] {
-        if (awaited_ == under_way) {
+    budget_.consume_token(calls_.now());
+    const auto this_read = current_read_ = ++read_count_;
+    const auto limit =
+        answer_timeout + (known_revision_ ? watch_timeout_ : duration());
+    calls_.schedule_after(limit, [this, this_read] {
+        if (current_read_ == this_read) {
             fail();
         }
     });
-    around_.ask(listed_, [this, under_way](const auto& answer) {
-        if (awaited_ == under_way) {
+    calls_.read(known_revision_, [this, this_read](const auto& answer) {
+        if (current_read_ == this_read) {
             finish(answer);
         }
     });
 }
 
 void simulated_reader::finish(const platform_answer& answer) {
-    if (answer.what == platform_answer::kind::refused) {
+    if (answer.outcome == platform_answer::kind::refused) {
         fail();
         return;
     }
     budget_.succeeded();
-    around_.on_state(true);
-    if (answer.what == platform_answer::kind::gone) {
+    calls_.on_platform_state(true);
+    if (answer.outcome == platform_answer::kind::gone) {
         read_again();
         return;
     }
-    listed_ = answer.revision;
+    known_revision_ = answer.revision;
     read_when_allowed();
-    around_.on_reading(answer);
+    calls_.on_answer(answer);
 }
 
 void simulated_reader::fail() {
-    budget_.failed(around_.now());
-    around_.on_state(false);
+    budget_.failed(calls_.now());
+    calls_.on_platform_state(false);
     read_again();
 }
 
--- a/test/membership/simulated_reader.hpp
+++ b/test/membership/simulated_reader.hpp
@@ -10,22 +10,27 @@
 
 namespace waxwingvale {
 
-// Reads and watches the simulated platform at the pace, and with the pauses
-// after failures, of an instance's real client.
+// Reads and watches the simulated platform with the same read budget, backoff
+// and timeouts as an instance's real client.
 class simulated_reader {
 public:
-    struct surroundings {
-        // The time of the fleet, and what this instance does later.
-        std::function<time_point()> now;
-        std::function<void(duration, std::function<void()>)> after;
+    // How the reader reaches the simulation, and what it reports to its
+    // instance.
+    struct callbacks {
+        std::function<time_point()> now; // the time of the simulation
+        // Runs the function on this instance after a delay.
+        std::function<void(duration, std::function<void()>)> schedule_after;
+        // Lists, or watches after a revision.
         std::function<void(std::optional<std::uint64_t>,
-                           simulated_platform::handler)>
-            ask;
-        std::function<void(const platform_answer&)> on_reading;
-        std::function<void(bool)> on_state;
+                           simulated_platform::answer_handler)>
+            read;
+        std::function<void(const platform_answer&)> on_answer;
+        // Called with whether the latest read was answered.
+        std::function<void(bool)> on_platform_state;
     };
 
-    simulated_reader(surroundings around, duration watch, std::uint64_t seed);
+    simulated_reader(callbacks calls, duration watch_timeout,
+                     std::uint64_t seed);
 
     void set_share(membership::read_share share);
     void read_again();
@@ -39,12 +44,12 @@
     void finish(const platform_answer& answer);
     void fail();
 
-    surroundings around_;
-    duration longest_watch_;
+    callbacks calls_;
+    duration watch_timeout_;
     membership::read_budget budget_;
-    std::optional<std::uint64_t> listed_; // up to that revision
-    std::uint64_t awaited_ = 0; // the read that is planned, or under way
-    std::uint64_t reads_ = 0;
+    std::optional<std::uint64_t> known_revision_; // empty: list before watching
+    std::uint64_t current_read_ = 0; // number of the planned or pending read
+    std::uint64_t read_count_ = 0;
     bool paused_ = true;
 };
 
--- a/test/membership/tables_test.cpp
+++ b/test/membership/tables_test.cpp
@@ -36,8 +36,8 @@
     return table;
 }
 
-backend_belief seen(backend_state state, belief_source source,
-                    std::uint64_t incarnation, duration after = 0s) {
+backend_belief observation(backend_state state, belief_source source,
+                           std::uint64_t incarnation, duration after = 0s) {
     return {"slate-1", incarnation, state, source, "sea-1", start + after};
 }
 
@@ -46,24 +46,24 @@
     return {name, revision, present, {}};
 }
 
-// How many milliseconds a backend server that the platform says is gone stays
-// in the table, at most `limit`, while the platform answers for `up` and is
-// away for `down` in turn.
-std::int64_t kept_while_platform_flaps(duration up, duration down,
-                                       duration limit = 60s) {
+// Returns for how many milliseconds a backend server that the platform reports
+// as removed stays in the table, at most `limit`, while the platform
+// alternately answers for `up` and does not answer for `down`.
+std::int64_t removal_delay_with_flapping_platform(duration up, duration down,
+                                                  duration limit = 60s) {
     constexpr auto step = 100ms;
     registry_table table(10);
     table.merge(registered("slate-1", 5), start);
-    table.platform_lost(start - 10s);
+    table.mark_platform_unreachable(start - 10s);
     duration passed{};
     for (; passed < limit && !table.records().empty(); passed += step) {
         const auto now = start + passed;
         const auto phase = passed % (up + down);
         if (phase == 0ms) {
-            table.platform_returned(now);
-            table.take_list({}, 9, now);
+            table.mark_platform_reachable(now);
+            table.apply_list({}, 9, now);
         } else if (phase == up) {
-            table.platform_lost(now);
+            table.mark_platform_unreachable(now);
         }
         table.tick(now);
     }
@@ -76,31 +76,32 @@
 
 } // namespace
 
-TEST_CASE("an empty or old list of the platform forgets nobody") {
-    // The platform's list lags, or is empty after its own fault. Were members
-    // dropped with it, callers would lose instances that serve them well.
+TEST_CASE("an empty or outdated platform list removes no members") {
+    // The platform's list lags, or is empty after a fault of the platform. If
+    // it removed members, callers would lose instances that serve them well.
     auto table = table_of_self();
     table.merge(record_of("pdx-1", 50, 2), start);
-    table.take_platform_list({}, start);
+    table.apply_platform_list({}, start);
     REQUIRE(table.find("pdx-1") != nullptr);
     CHECK(table.find("pdx-1")->life == liveness::alive);
 }
 
-TEST_CASE("silence moves ownership after a bounded time, unless refuted") {
-    // One instance loses another, perhaps only by its own fault. The other has
-    // some seconds to say that it lives; if it does not, its slots go over.
+TEST_CASE("a suspect member is gone after a bounded time unless it refutes") {
+    // An instance loses contact with another one, perhaps through its own
+    // fault. The other one has some seconds to refute the suspicion; if it does
+    // not, its slots get another owner.
     auto table = table_of_self();
     table.merge(record_of("pdx-1", 50, 2), start);
     CHECK(table.accuse("pdx-1", start));
     CHECK(table.find("pdx-1")->life == liveness::suspect);
-    SECTION("it refutes") {
-        auto word = record_of("pdx-1", 50, 2);
-        word.assertion = 1;
-        CHECK(table.merge(word, start + 1s));
+    SECTION("the member refutes the suspicion") {
+        auto update = record_of("pdx-1", 50, 2);
+        update.assertion = 1;
+        CHECK(table.merge(update, start + 1s));
         table.tick(start + 1h);
         CHECK(table.find("pdx-1")->life == liveness::alive);
     }
-    SECTION("it says nothing") {
+    SECTION("the member does not answer") {
         table.tick(start + 2s);
         CHECK(table.find("pdx-1")->life == liveness::suspect);
         table.tick(start + 3s);
@@ -108,9 +109,10 @@
     }
 }
 
-TEST_CASE("a restarted instance replaces its former life at once") {
-    // An instance is replaced by a new one at the same address. Callers that
-    // hold keys of the former must not be told that the new one knows them.
+TEST_CASE("a restarted instance replaces its previous incarnation at once") {
+    // An instance is replaced by a new one at the same address. Callers whose
+    // idempotency keys the previous one held must not be told that the new one
+    // knows them.
     auto table = table_of_self();
     table.merge(record_of("pdx-1", 50, 2), start);
     SECTION("under the same name") {
@@ -125,15 +127,15 @@
     }
 }
 
-TEST_CASE("a clock set back does not make a new life look like an old one") {
+TEST_CASE("an instance whose clock was set back gets a later incarnation") {
     auto table = table_of_self();
     table.merge(record_of("sea-1", 500), start + 1s);
     CHECK(table.self().id.incarnation == 501);
 }
 
-TEST_CASE("an instance that was replaced while it slept stands down") {
-    // A paused process wakes after another one has taken its name. Both
-    // asserting themselves would pull the slots to and fro without end.
+TEST_CASE("an instance that was replaced while suspended gives up its role") {
+    // A suspended process resumes after another one has taken its name. If both
+    // claimed the name, slots would move between them endlessly.
     auto table = table_of_self();
     table.merge(record_of("sea-1", 500), start + 1min);
     CHECK(table.replaced());
@@ -141,64 +143,75 @@
     CHECK(table.self().id.incarnation == 100);
 }
 
-TEST_CASE("control alone restarted goes on with the entry's life") {
+TEST_CASE(
+    "a control process that restarts alone keeps the entry's incarnation") {
     member_table table(record_of("sea-1", 0), {}, start);
-    auto word = record_of("sea-1", 100);
-    word.assertion = 7;
-    word.life = liveness::suspect;
-    table.merge(word, start);
+    auto update = record_of("sea-1", 100);
+    update.assertion = 7;
+    update.life = liveness::suspect;
+    table.merge(update, start);
     table.start_life(100);
     CHECK(table.self().id.incarnation == 100);
     CHECK(table.self().assertion == 8);
     CHECK(table.self().life == liveness::alive);
 }
 
-TEST_CASE("leaving is never taken back within an incarnation") {
-    // A backend server drains; its health still looks well and old word of it
-    // arrives late. Work sent to it would be cut off when it stops.
+TEST_CASE("leaving is never reset within an incarnation") {
+    // A backend server drains. It still passes health checks, and outdated
+    // records of it arrive late. Requests sent to it would be cut off when it
+    // stops.
     belief_table table(10);
-    table.observe(seen(backend_state::leaving, belief_source::traffic, 3));
-    table.observe(seen(backend_state::serving, belief_source::probe, 3, 1s));
+    table.observe(
+        observation(backend_state::leaving, belief_source::traffic, 3));
+    table.observe(
+        observation(backend_state::serving, belief_source::probe, 3, 1s));
     CHECK(state_in(table) == backend_state::leaving);
-    belief_record word;
-    word.backend_server = "slate-1";
-    word.incarnation = 3;
-    word.version = 5;
-    table.merge(word);
+    belief_record update;
+    update.backend_server = "slate-1";
+    update.incarnation = 3;
+    update.version = 5;
+    table.merge(update);
     CHECK(state_in(table) == backend_state::leaving);
-    table.observe(seen(backend_state::serving, belief_source::traffic, 4, 2s));
+    table.observe(
+        observation(backend_state::serving, belief_source::traffic, 4, 2s));
     CHECK(state_in(table) == backend_state::serving);
-    CHECK_FALSE(
-        table.observe(seen(backend_state::dead, belief_source::traffic, 3)));
+    CHECK_FALSE(table.observe(
+        observation(backend_state::dead, belief_source::traffic, 3)));
 }
 
-TEST_CASE("a dead backend server comes back by an answer, not by a list") {
+TEST_CASE(
+    "only an answer, not a list, marks a dead backend server as serving") {
     belief_table table(10);
-    table.observe(seen(backend_state::dead, belief_source::traffic, 3, 1s));
     table.observe(
-        seen(backend_state::serving, belief_source::platform_list, 3, 2s));
+        observation(backend_state::dead, belief_source::traffic, 3, 1s));
+    table.observe(observation(backend_state::serving,
+                              belief_source::platform_list, 3, 2s));
     CHECK(state_in(table) == backend_state::dead);
-    // An answer that was under way when it died.
-    table.observe(seen(backend_state::serving, belief_source::traffic, 3));
+    // An answer that was in flight when the server died.
+    table.observe(
+        observation(backend_state::serving, belief_source::traffic, 3));
     CHECK(state_in(table) == backend_state::dead);
-    table.observe(seen(backend_state::serving, belief_source::traffic, 3, 3s));
+    table.observe(
+        observation(backend_state::serving, belief_source::traffic, 3, 3s));
     CHECK(state_in(table) == backend_state::serving);
 }
 
-TEST_CASE("beliefs are bounded") {
+TEST_CASE("the number of records of backend servers is bounded") {
     belief_table table(2);
     for (const auto* name : {"a", "b", "c"}) {
-        auto word = seen(backend_state::dead, belief_source::traffic, 1);
-        word.backend_server = name;
-        table.observe(word);
+        auto update =
+            observation(backend_state::dead, belief_source::traffic, 1);
+        update.backend_server = name;
+        table.observe(update);
     }
     CHECK(table.records().size() == 2);
     CHECK(table.counters().over_limit == 1);
 }
 
-TEST_CASE("two deaths condemn a request only if one of them was its alone") {
-    // A request crashes whatever runs it, and others share the server when it
-    // dies. Condemned with it, popular pages would be refused everywhere.
+TEST_CASE(
+    "two deaths quarantine a request only if it was alone in one of them") {
+    // Guards against popular pages being refused everywhere because their
+    // requests were in flight on servers that another request crashed.
     quarantine_table table({});
     table.add_death({1, "slate-1", 1, false, start});
     table.add_death({2, "slate-1", 1, false, start});
@@ -210,7 +223,7 @@
     CHECK_FALSE(table.contains(1));
 }
 
-TEST_CASE("planned links join all members, with few at each") {
+TEST_CASE("planned links connect all members with few links at each") {
     std::vector<placed_member> members;
     for (unsigned each = 0; each < 320; ++each) {
         const auto centre = each % 8;
@@ -245,18 +258,18 @@
     CHECK(hops <= 12);
 }
 
-TEST_CASE("all readers together stay within what the platform answers") {
-    // The platform comes back after an outage and every instance reads it in
-    // the same second. More than it answers would bring it down again.
+TEST_CASE("all readers together stay within the platform's read rate") {
+    // After an outage of the platform every instance reads it in the same
+    // second. More reads than it can answer would make it fail again.
     constexpr double platform_reads_per_second = 2000;
     for (const std::size_t readers : {1U, 18U, 320U, 900U}) {
-        const auto share = share_of(platform_reads_per_second, readers);
+        const auto share = read_share_for(platform_reads_per_second, readers);
         std::size_t reads = 0;
         for (std::size_t each = 0; each < readers; ++each) {
             read_budget budget(share, each, start);
             for (auto now = start; now < start + 1s; now += 10ms) {
                 if (budget.wait_before_read(now) == 0s) {
-                    budget.take(now);
+                    budget.consume_token(now);
                     ++reads;
                 }
             }
@@ -265,109 +278,109 @@
     }
 }
 
-TEST_CASE("a platform that comes and goes does not keep servers that left") {
+TEST_CASE("removals are applied although the platform is flapping") {
     // Guards against requests to a server that left long ago: each return of
-    // the platform began the wait for lapsed entries anew.
-    CHECK(kept_while_platform_flaps(1s, 100ms) <= 2600);
-    CHECK(kept_while_platform_flaps(1s, 1s) <= 4600);
-    CHECK(kept_while_platform_flaps(200ms, 200ms) <= 4600);
-    CHECK(kept_while_platform_flaps(10s, 10s) <= 2300);
-    // It comes for a moment and stays away.
-    CHECK(kept_while_platform_flaps(100ms, 1h) <= 10100);
+    // the platform restarted the wait for expired registrations.
+    CHECK(removal_delay_with_flapping_platform(1s, 100ms) <= 2600);
+    CHECK(removal_delay_with_flapping_platform(1s, 1s) <= 4600);
+    CHECK(removal_delay_with_flapping_platform(200ms, 200ms) <= 4600);
+    CHECK(removal_delay_with_flapping_platform(10s, 10s) <= 2300);
+    // The platform returns briefly and then stays unavailable.
+    CHECK(removal_delay_with_flapping_platform(100ms, 1h) <= 10100);
 }
 
-TEST_CASE("a read that fails once does not put off a removal") {
-    // Guards against requests to a server 2 s after its leave was known. No
-    // entry of a living server lapses so soon.
+TEST_CASE("a single failed read does not delay a removal") {
+    // Guards against requests to a server 2 s after it was known to have left.
+    // No registration of a live server expires in so short an outage.
     registry_table table(10);
     table.merge(registered("slate-1", 5), start);
-    table.platform_lost(start);
-    table.platform_returned(start + 900ms);
-    table.take_change(registered("slate-1", 6, false), start + 950ms);
+    table.mark_platform_unreachable(start);
+    table.mark_platform_reachable(start + 900ms);
+    table.apply_change(registered("slate-1", 6, false), start + 950ms);
     CHECK(table.records().empty());
 }
 
-TEST_CASE("entries that lapsed have the platform's own time to come back") {
-    // Guards against all servers being taken from callers by an outage of the
-    // platform that ends for a moment only.
+TEST_CASE("only time in which the platform answers counts for a held removal") {
+    // Guards against all servers becoming unavailable to callers in an outage
+    // of the platform that is interrupted only briefly.
     registry_table table(10);
     table.merge(registered("slate-1", 5), start);
-    table.platform_lost(start);
-    table.platform_returned(start + 10s);
-    table.take_list({}, 9, start + 10s);
-    table.platform_lost(start + 11s);
+    table.mark_platform_unreachable(start);
+    table.mark_platform_reachable(start + 10s);
+    table.apply_list({}, 9, start + 10s);
+    table.mark_platform_unreachable(start + 11s);
     table.tick(start + 15s);
     CHECK(table.records().size() == 1);
-    table.platform_returned(start + 15s);
-    table.take_change(registered("slate-1", 12), start + 16s);
+    table.mark_platform_reachable(start + 15s);
+    table.apply_change(registered("slate-1", 12), start + 16s);
     table.tick(start + 40s);
     CHECK(table.records().size() == 1);
 }
 
-TEST_CASE("short absences in a row are a long one") {
-    // Guards against all servers being taken from callers because each gap in
-    // which no server could check in was short.
+TEST_CASE("a series of short outages counts as a long one") {
+    // Guards against all servers becoming unavailable to callers because each
+    // of several outages, in which no server could check in, was short.
     registry_table table(10);
     table.merge(registered("slate-1", 5), start);
     auto now = start;
     for (int each = 0; each < 4; ++each) {
-        table.platform_lost(now);
+        table.mark_platform_unreachable(now);
         now += 1400ms;
-        table.platform_returned(now);
+        table.mark_platform_reachable(now);
         now += 100ms;
     }
-    table.take_list({}, 9, now);
+    table.apply_list({}, 9, now);
     CHECK(table.records().size() == 1);
 }
 
-TEST_CASE("members that come and go do not put off reading the platform") {
-    // Each of them changes this reader's share.
-    read_budget budget(share_of(2000, 17), 1, start);
+TEST_CASE("changes of membership do not delay reads of the platform") {
+    // Each change of membership changes this reader's share.
+    read_budget budget(read_share_for(2000, 17), 1, start);
     auto now = start;
     while (budget.wait_before_read(now) == 0s) {
-        budget.take(now);
+        budget.consume_token(now);
     }
     const auto wait = budget.wait_before_read(now);
     for (const auto until = now + wait; now < until; now += 1ms) {
-        budget.set_share(share_of(2000, now.time_since_epoch() / 1ms % 40 + 1),
-                         now);
+        budget.set_share(
+            read_share_for(2000, now.time_since_epoch() / 1ms % 40 + 1), now);
     }
     CHECK(wait <= 250ms);
     CHECK(budget.wait_before_read(now) <= 1ms);
 }
 
-TEST_CASE("who was turned away alone carries removals out at once") {
-    // Guards against requests to a server that has left, sent by instances that
-    // the platform had refused for a while although it answered their peers.
+TEST_CASE("an instance that alone was refused applies removals at once") {
+    // Guards against requests to a server that has left, sent by an instance
+    // that the platform refused for a while although it answered the peers.
     const registry_record server{"i-1", 5, true, {}};
     const registry_record gone{"i-1", 9, false, {}};
     registry_table table(10);
-    table.take_change(server, start);
-    table.platform_lost(start);
-    time_point heard = start;
-    const auto hear_until = [&](time_point end) {
-        for (; heard < end; heard += 500ms) {
-            table.platform_answered_other(heard);
+    table.apply_change(server, start);
+    table.mark_platform_unreachable(start);
+    time_point answered_until = start;
+    const auto answer_peers_until = [&](time_point end) {
+        for (; answered_until < end; answered_until += 500ms) {
+            table.platform_answered_other(answered_until);
         }
     };
-    SECTION("peers were answered all the while") {
-        hear_until(start + 10s);
-        table.platform_returned(start + 10s);
-        table.take_change(gone, start + 10s);
+    SECTION("the platform answered peers all the time") {
+        answer_peers_until(start + 10s);
+        table.mark_platform_reachable(start + 10s);
+        table.apply_change(gone, start + 10s);
         CHECK(table.records().empty());
     }
-    SECTION("the platform was away, and has been back for long") {
-        heard = start + 5s;
-        hear_until(start + 10s);
-        table.platform_returned(start + 10s);
-        table.take_change(gone, start + 10s);
+    SECTION("an outage ended long ago") {
+        answered_until = start + 5s;
+        answer_peers_until(start + 10s);
+        table.mark_platform_reachable(start + 10s);
+        table.apply_change(gone, start + 10s);
         CHECK(table.records().empty());
     }
-    SECTION("the platform was away, and answered a peer just before") {
-        heard = start + 5s;
-        hear_until(start + 6s);
-        table.platform_returned(start + 6s);
-        table.take_change(gone, start + 6s);
+    SECTION("an outage ended just before, for a peer") {
+        answered_until = start + 5s;
+        answer_peers_until(start + 6s);
+        table.mark_platform_reachable(start + 6s);
+        table.apply_change(gone, start + 6s);
         table.tick(start + 7s);
         CHECK(table.records().size() == 1);
         table.tick(start + 7300ms);
@@ -375,58 +388,59 @@
     }
 }
 
-TEST_CASE("the newest word of an evacuation holds, whoever brings it") {
-    // Guards against requests into an evacuated data centre, or none after it
-    // was taken back, because word came late or by a peer.
+TEST_CASE("the newest record of an evacuation applies whatever its origin") {
+    // Guards against requests into an evacuated data centre, and against a data
+    // centre left unused after its evacuation was revoked, because records
+    // arrive late or from a peer.
     registry_table table(10);
-    CHECK(table.merge(evacuation_record("boi", 5), start));
-    CHECK_FALSE(table.merge(evacuation_record("boi", 5), start + 1s));
+    CHECK(table.merge(make_evacuation_record("boi", 5), start));
+    CHECK_FALSE(table.merge(make_evacuation_record("boi", 5), start + 1s));
     REQUIRE(table.evacuations().size() == 1);
     CHECK(table.evacuations()[0] == evacuation{"boi", 5, start});
-    auto taken_back = evacuation_record("boi", 7);
-    taken_back.present = false;
-    table.merge(taken_back, start + 2s);
+    auto revoked = make_evacuation_record("boi", 7);
+    revoked.present = false;
+    table.merge(revoked, start + 2s);
     CHECK(table.evacuations().empty());
-    CHECK_FALSE(table.merge(evacuation_record("boi", 6), start + 3s));
+    CHECK_FALSE(table.merge(make_evacuation_record("boi", 6), start + 3s));
     CHECK(table.evacuations().empty());
-    CHECK(table.merge(evacuation_record("boi", 8), start + 4s));
+    CHECK(table.merge(make_evacuation_record("boi", 8), start + 4s));
     CHECK(table.evacuations()[0] == evacuation{"boi", 8, start + 4s});
 }
 
-TEST_CASE("an evacuation ends by a whole list that lacks it, at once") {
-    // Entries of servers that lapsed while the platform was away are kept for
-    // a while. Kept too, an order that was taken back meanwhile would leave a
-    // data centre unused.
+TEST_CASE("a complete list without an evacuation ends it at once") {
+    // Registrations that expired during an outage of the platform are kept for
+    // a while. If evacuations were kept too, one that was revoked meanwhile
+    // would leave a data centre unused.
     registry_table table(10);
-    table.merge(evacuation_record("boi", 5), start);
+    table.merge(make_evacuation_record("boi", 5), start);
     table.merge(registered("slate-1", 6), start);
-    table.platform_lost(start);
-    table.platform_returned(start + 5s);
-    table.take_list({}, 9, start + 5s);
+    table.mark_platform_unreachable(start);
+    table.mark_platform_reachable(start + 5s);
+    table.apply_list({}, 9, start + 5s);
     CHECK(table.evacuations().empty());
     CHECK(table.records().size() == 1);
 }
 
-TEST_CASE("an order finds room among however many servers") {
-    // Guards against requests into an evacuated data centre when somebody has
-    // filled the registry.
+TEST_CASE("an evacuation is accepted although the table is full of servers") {
+    // Guards against requests into an evacuated data centre when the registry
+    // is full.
     registry_table table(2);
     table.merge(registered("slate-1", 1), start);
     table.merge(registered("slate-2", 2), start);
     CHECK_FALSE(table.merge(registered("slate-3", 3), start));
-    CHECK(table.merge(evacuation_record("boi", 4), start));
+    CHECK(table.merge(make_evacuation_record("boi", 4), start));
     CHECK(table.evacuations().size() == 1);
 }
 
-TEST_CASE("tables that differ in an evacuation differ in their numbers") {
-    // Guards against an instance that missed an order and takes its table for
-    // its peers'.
+TEST_CASE("tables that differ in an evacuation have different fingerprints") {
+    // Guards against an instance that missed an evacuation and considers its
+    // table equal to that of its peers.
     registry_table one(10);
     registry_table other(10);
     for (auto* each : {&one, &other}) {
         each->merge(registered("slate-1", 1), start);
     }
-    one.merge(evacuation_record("boi", 4), start);
+    one.merge(make_evacuation_record("boi", 4), start);
     CHECK(one.fingerprint() != other.fingerprint());
     bucket_set all;
     all.set();
--- a/test/platform/other_writers_test.cpp
+++ b/test/platform/other_writers_test.cpp
@@ -46,11 +46,11 @@
         for (const auto& fact : read.facts) {
             if (const auto* record =
                     std::get_if<membership::registry_record>(&fact)) {
-                table.take_change(*record, time_point());
+                table.apply_change(*record, time_point());
             }
         }
         if (reading.whole) {
-            table.take_list(read.listed, reading.revision, time_point());
+            table.apply_list(read.listed, reading.revision, time_point());
         }
         return read;
     }
--- a/test/platform/store_test.cpp
+++ b/test/platform/store_test.cpp
@@ -153,12 +153,12 @@
         const auto fact = sample_state().decode(item);
         REQUIRE(fact.has_value());
         CHECK(std::get<membership::registry_record>(fact.value()) ==
-              membership::evacuation_record("north", 12));
+              membership::make_evacuation_record("north", 12));
     }
     const auto gone = sample_state().decode_removal("op/evacuate/north", 15);
     const auto& record = std::get<membership::registry_record>(gone);
     CHECK_FALSE(record.present);
-    CHECK(record.name == membership::evacuation_record("north", 1).name);
+    CHECK(record.name == membership::make_evacuation_record("north", 1).name);
     CHECK(record.revision == 15);
 }
 
