--- a/test/membership/simulated_reader.hpp
+++ b/test/membership/simulated_reader.hpp
@@ -10,8 +10,8 @@
 
 namespace waxwingvale {
 
-// Reads and watches the simulated platform with the same read budget, backoff
-// and timeouts as an instance's real client.
+// Reads and watches the simulated platform with the same read budget and
+// backoff as an instance's real client.
 class simulated_reader {
 public:
     // How the reader reaches the simulation, and what it reports to its
