--- a/include/waxwingvale/decision/steering.hpp
+++ b/include/waxwingvale/decision/steering.hpp
@@ -11,8 +11,9 @@
 
 namespace waxwingvale::decision {
 
-// One address for a caller. The weight is the number of slots behind it; 0
-// marks an instance that owns none and is only a fallback.
+// The address of an entry instance, as returned to a caller. The weight is the
+// number of slots that the instance owns; with weight 0 the instance owns none
+// and is only a fallback.
 struct steering_address {
     member_id member;
     std::string host;
@@ -22,47 +23,48 @@
 
 bool operator==(const steering_address& a, const steering_address& b);
 
-// The answer to "which address?": the first address is to be used, the
-// others are fallbacks in order, and the caller asks again after keep.
+// Addresses for one caller: it uses the first address, and the others as
+// fallbacks in order. It requests new addresses after `ttl`.
 struct steering_answer {
     std::vector<steering_address> addresses;
-    duration keep{};
+    duration ttl{};
 };
 
 bool operator==(const steering_answer& a, const steering_answer& b);
 
-// Who asks. The hash stands for the caller (its address or its own name) and
-// must be the same at every asking for the caller to stay where it is.
+// The caller that requests addresses. The hash identifies the caller (by its
+// network address or its own name). It must be the same in each request, or the
+// caller is sent to other instances.
 struct steering_caller {
     std::uint64_t hash = 0;
-    std::string data_centre; // empty: not known
-    // Counts the caller's askings, or any number that differs between them:
-    // it varies the keep time, so that callers who once asked together do not
-    // return together.
-    std::uint64_t window = 0;
+    std::string data_centre; // empty if unknown
+    // A number that differs between the requests of one caller, such as a
+    // count. It varies the ttl, so that callers that once sent requests at the
+    // same time do not all return at the same time.
+    std::uint64_t request_number = 0;
 };
 
-// Most addresses in one answer.
+// Maximum number of addresses in one answer.
 inline constexpr std::size_t addresses_per_answer = 4;
 
-// The addresses for that caller, in order of preference: owners first, each
-// caller's own by rendezvous with the owned slots as weights, so that callers
-// divide as the slots do; then instances without slots, of the caller's data
-// centre before others. Empty when no member is alive or suspect.
+// Returns the addresses for the caller in order of preference. Owners come
+// first, ordered by rendezvous hashing weighted by the slots that they own, so
+// that callers are distributed in proportion to the slots. Instances without
+// slots follow, those in the caller's data centre before others. Suspect
+// members come last. Empty if no member is alive or suspect.
 steering_answer steer_caller(const configuration& config,
                              const ownership& owners,
                              const std::vector<member>& members,
                              const steering_caller& caller);
 
-// The instances to which callers of a data centre are sent, each of which may
-// be used as well as another: those that are alive there, without the ones
-// that are far weaker than the strongest; where none is, those of its region,
-// and then all, or with homes those in one of these regions. At most `most`, in
-// an order that differs between callers.
-std::vector<member>
-nearby_instances(const std::vector<member>& members,
-                 const std::vector<data_centre>& data_centres,
-                 const steering_caller& caller,
-                 const std::vector<std::string>& homes, std::size_t most);
+// Returns equivalent instances for callers of a data centre: the alive
+// instances of the caller's data centre; if there are none, those of its
+// region; if there are none, those in `home_regions`, or all if `home_regions`
+// is empty. Instances with far less capacity than the largest of these are left
+// out. At most `max_count` instances, in an order that depends on the caller.
+std::vector<member> nearby_instances(
+    const std::vector<member>& members,
+    const std::vector<data_centre>& data_centres, const steering_caller& caller,
+    const std::vector<std::string>& home_regions, std::size_t max_count);
 
 } // namespace waxwingvale::decision
--- a/src/decision/backend_health.cpp
+++ b/src/decision/backend_health.cpp
@@ -7,32 +7,34 @@
 
 namespace {
 
-// While a straggler is only sampled, each answer must count for more, or it
-// would stay shut out long after it recovered.
-constexpr double sampled_gain = 0.5;
+// Weight of an answer of a straggler. A straggler gets only few samples, so
+// with the normal weight it would stay excluded long after it recovered.
+constexpr double straggler_gain = 0.5;
 
-// A first failure after recovery must not shut a server out again at once.
-constexpr double recovered_share = 0.2;
+// Low enough that the first failure after a recovery does not exclude the
+// server again.
+constexpr double failure_share_after_recovery = 0.2;
 
 } // namespace
 
-void backend_health::add(attempt_verdict verdict, double relative_log,
+void backend_health::add(attempt_verdict verdict, double log_ratio,
                          time_point now, const scheduling_policy& policy) {
     switch (verdict) {
     case attempt_verdict::answered:
-        add_time(relative_log, now, policy);
+        add_time(log_ratio, now, policy);
         add_failure(false, false, now, policy);
         break;
     case attempt_verdict::timed_out:
     case attempt_verdict::cancelled:
-        // It would have taken longer still: only word that it is slow.
-        if (relative_log > relative_log_) {
-            add_time(relative_log, now, policy);
+        // The answer would have taken even longer, so the time is only a lower
+        // bound: it can show that the server is slow, but not that it is fast.
+        if (log_ratio > log_slowness_) {
+            add_time(log_ratio, now, policy);
         }
         break;
     case attempt_verdict::failed:
-        // A quick error says nothing of the time an answer takes; counted as
-        // one, it would draw every request to the server that fails.
+        // The time of an error does not count as a response time. Otherwise
+        // fast errors would attract all requests to the failing server.
         add_failure(true, false, now, policy);
         break;
     case attempt_verdict::died:
@@ -44,20 +46,20 @@
     }
 }
 
-void backend_health::add_time(double relative_log, time_point now,
+void backend_health::add_time(double log_ratio, time_point now,
                               const scheduling_policy& policy) {
-    const double gain = straggler_ ? sampled_gain : policy.slowness_gain;
-    relative_log_ += gain * (relative_log - relative_log_);
-    slowness_ = std::exp(relative_log_);
+    const double gain = straggler_ ? straggler_gain : policy.slowness_gain;
+    log_slowness_ += gain * (log_ratio - log_slowness_);
+    slowness_ = std::exp(log_slowness_);
     slow_ = slowness_ > policy.recovered_ratio;
     straggler_ = slow_ && (straggler_ || slowness_ > policy.straggler_ratio);
     if (straggler_) {
-        straggler_pause_ =
-            std::clamp(straggler_pause_ * 2, policy.straggler_sample,
+        straggler_interval_ =
+            std::clamp(straggler_interval_ * 2, policy.straggler_sample,
                        policy.straggler_sample_max);
-        next_sample_ = now + straggler_pause_;
+        next_sample_ = now + straggler_interval_;
     } else {
-        straggler_pause_ = duration::zero();
+        straggler_interval_ = duration::zero();
         next_sample_ = now + policy.straggler_sample;
     }
 }
@@ -69,7 +71,7 @@
     if (!failed) {
         if (failing_) {
             failing_ = false;
-            failure_share_ = recovered_share;
+            failure_share_ = failure_share_after_recovery;
         }
         failing_pause_ = duration::zero();
         return;
@@ -83,9 +85,9 @@
     next_sample_ = now + failing_pause_;
 }
 
-void backend_health::sample_taken(time_point now,
-                                  const scheduling_policy& policy) {
-    // Until the sample's verdict is known no second one is sent.
+void backend_health::sample_started(time_point now,
+                                    const scheduling_policy& policy) {
+    // Prevents a second sample before the verdict of this one is known.
     next_sample_ = now + std::max(failing_pause_, policy.straggler_sample_max);
 }
 
--- a/src/decision/backend_health.hpp
+++ b/src/decision/backend_health.hpp
@@ -5,44 +5,50 @@
 
 namespace waxwingvale::decision {
 
-// What the answers of one backend server tell of it: whether it is slower
-// than its fellows, and whether it fails. Nothing is asked of the server.
+// Health of one backend server, derived from the outcomes of its attempts:
+// whether it is slower than the other servers, and whether it fails. Sends no
+// requests of its own.
 class backend_health {
 public:
-    // An attempt ended; relative_log compares its time with the usual.
-    void add(attempt_verdict verdict, double relative_log, time_point now,
+    // Records the end of an attempt. log_ratio is the logarithm of its time
+    // divided by the expected time.
+    void add(attempt_verdict verdict, double log_ratio, time_point now,
              const scheduling_policy& policy);
 
+    // Much slower than expected: gets no requests except samples, unless
+    // waiting for another server takes longer.
     bool straggler() const { return straggler_; }
-    // Slower than usual, by more than chance: used last.
+    // Slower than expected by more than random variation.
     bool slow() const { return slow_; }
-    // Gets a request now and then to see whether it recovered.
-    bool watched() const { return failing_ || slow_; }
-    // How much slower than usual: 1 is usual.
+    // Whether the server gets an occasional sample request that shows whether
+    // it has recovered.
+    bool needs_sampling() const { return failing_ || slow_; }
+    // Smoothed ratio of actual to expected time; 1 is as expected.
     double slowness() const { return slowness_; }
     double failure_share() const { return failure_share_; }
 
-    // Passed over since its attempts fail. Whether that is acted on is
-    // decided by who knows the other servers.
+    // Whether its attempts fail. slot_table, which knows the other servers,
+    // decides whether the server is excluded for it.
     bool failing() const { return failing_; }
     bool sample_due(time_point now) const { return now >= next_sample_; }
-    void sample_taken(time_point now, const scheduling_policy& policy);
+    // Delays the next sample until the verdict of this one is known.
+    void sample_started(time_point now, const scheduling_policy& policy);
     time_point next_sample() const { return next_sample_; }
 
 private:
-    void add_time(double relative_log, time_point now,
+    void add_time(double log_ratio, time_point now,
                   const scheduling_policy& policy);
     void add_failure(bool failed, bool unreachable, time_point now,
                      const scheduling_policy& policy);
 
-    double relative_log_ = 0;
-    double slowness_ = 1; // its exponential, which is dear
+    double log_slowness_ = 0;
+    double slowness_ = 1; // cached, because exp() is expensive
     double failure_share_ = 0;
     bool slow_ = false;
     bool straggler_ = false;
     bool failing_ = false;
-    duration failing_pause_{};   // doubles with every failed sample
-    duration straggler_pause_{}; // doubles with every slow sample
+    duration failing_pause_{};      // doubles with each failed sample
+    duration straggler_interval_{}; // doubles with each slow sample
     time_point next_sample_{};
 };
 
--- a/src/decision/backend_slots.hpp
+++ b/src/decision/backend_slots.hpp
@@ -7,32 +7,33 @@
 #include <vector>
 
 #include "decision/backend_health.hpp"
-#include "decision/cold_rate.hpp"
+#include "decision/cold_rate_limiter.hpp"
 
 namespace waxwingvale::decision {
 
-// Names one attempt on one backend server.
+// Identifies an attempt on a backend server.
 using attempt_ref = std::uint64_t;
 
-// What was known when an attempt began.
-struct attempt_start {
+// An attempt that has not ended, with the load of its server as known at its
+// start.
+struct running_attempt {
     attempt_ref ref = 0;
     time_point at{};
     unsigned running = 1; // requests on that server, this one included
-    double slowness = 1;  // as the server last told
-    // How old that word was; none: the server had told nothing.
-    std::optional<duration> told_before;
+    double slowness = 1;  // as last reported by the server
+    // Age of that report, or nothing if the server had sent none.
+    std::optional<duration> report_age;
 };
 
-// What a backend server last told of its load.
-struct load_sighting {
+// The last load report of a backend server.
+struct load_report {
     backend_load load;
-    double log_slowness = 0; // of the load's
+    double log_slowness = 0; // logarithm of load.slowness
     time_point at{};
 };
 
-// The slots of one backend server: how many there are, how many may be used
-// now, and what is in flight.
+// The slots of one backend server: how many are configured, how many this
+// instance may use now, and which attempts are in flight.
 class backend_slots {
 public:
     explicit backend_slots(std::string name) : name_(std::move(name)) {}
@@ -43,48 +44,53 @@
     unsigned in_flight() const {
         return static_cast<unsigned>(started_.size());
     }
-    const std::optional<load_sighting>& seen() const { return seen_; }
-    void see(const backend_load& load, time_point now) {
-        seen_ = load_sighting{load, std::log(load.slowness), now};
+    const std::optional<load_report>& last_load() const { return last_load_; }
+    void record_load(const backend_load& load, time_point now) {
+        last_load_ = load_report{load, std::log(load.slowness), now};
     }
-    // Asked for its health it gave no answer, and has not been heard since.
-    bool silent() const { return silent_; }
-    void set_silent(bool silent) { silent_ = silent; }
-    cold_rate& cold() { return cold_; }
-    const cold_rate& cold() const { return cold_; }
+    // Whether the last probe got no answer and the server has sent nothing
+    // since.
+    bool unresponsive() const { return unresponsive_; }
+    void set_unresponsive(bool unresponsive) { unresponsive_ = unresponsive; }
+    cold_rate_limiter& cold() { return cold_; }
+    const cold_rate_limiter& cold() const { return cold_; }
     const backend_health& health() const { return health_; }
     backend_health& health() { return health_; }
 
     void configure(const backend_server& server);
-    // A new incarnation begins cold, from one slot, and what was seen of the
-    // former and runs on it is forgotten. Older ones are passed over.
+    // A newer incarnation starts cold with one slot; health, load and attempts
+    // of the previous one are discarded. Older incarnations are ignored.
     void set_incarnation(backend_incarnation incarnation);
     backend_incarnation incarnation() const { return incarnation_; }
-    void start_cold() { usable_ = 1; }
-    void set_vetoed(bool vetoed) { vetoed_ = vetoed; }
-    bool vetoed() const { return vetoed_; }
-    // Most requests that this instance may have in flight there, and how much
-    // of that it may count on: others use the server too.
-    void set_allowance(unsigned slots, double part) {
+    void limit_to_one_slot() { usable_ = 1; }
+    // Unavailable servers (leaving or dead) get no requests.
+    void set_unavailable(bool unavailable) { unavailable_ = unavailable; }
+    bool unavailable() const { return unavailable_; }
+    // Sets the maximum number of requests that this instance may have in flight
+    // on the server, and the fraction of them that it can rely on when other
+    // instances use the server, too.
+    void set_allowance(unsigned slots, double fair_share) {
         allowance_ = slots;
-        part_ = part;
+        fair_share_ = fair_share;
     }
-    double part() const { return part_; }
+    double fair_share() const { return fair_share_; }
 
+    // Maximum number of requests in flight now.
     unsigned limit() const;
-    // Free slots now: none while vetoed, paused after a refusal, or taken
-    // whole by an isolated request; fewer while it is cold.
-    unsigned free(time_point now) const;
+    // Slots that are free now: none while the server is unavailable, paused
+    // after a refusal, or reserved for an isolated request; fewer while it is
+    // cold.
+    unsigned free_slots(time_point now) const;
     time_point paused_until() const { return paused_until_; }
 
     void start(attempt_ref attempt, time_point now, bool isolated);
-    // Ends the attempt; none when it is not known, as when its server has
-    // started again since. One on a peer's slot, 0, never is, and counts.
-    std::optional<attempt_start> finish(attempt_ref attempt,
-                                        attempt_verdict verdict,
-                                        const std::optional<backend_load>& load,
-                                        time_point now,
-                                        const scheduling_policy& policy);
+    // Ends the attempt and returns it, or nothing if it is unknown because the
+    // server has restarted since. Attempt 0 stands for an attempt on a slot of
+    // a peer: it is never known, but its verdict counts.
+    std::optional<running_attempt>
+    finish(attempt_ref attempt, attempt_verdict verdict,
+           const std::optional<backend_load>& load, time_point now,
+           const scheduling_policy& policy);
 
 private:
     void grow();
@@ -97,20 +103,21 @@
     unsigned configured_ = 0;
     unsigned usable_ = 0;
     unsigned allowance_ = 0;
-    double part_ = 1;
-    unsigned answers_ = 0; // since usable_ last changed
-    // Rounds of answers before one more slot is tried: doubles when that slot
-    // turns out to be taken, or every second round would be a refusal.
-    unsigned caution_ = 1;
-    bool vetoed_ = false;
+    double fair_share_ = 1;
+    unsigned answers_since_change_ = 0; // of usable_
+    // Rounds of answers before one more slot is tried. Doubles when the added
+    // slot turns out to be in use by others; otherwise every second round would
+    // end in a refusal.
+    unsigned growth_rounds_ = 1;
+    bool unavailable_ = false;
     bool isolated_ = false;
     duration pause_{};
     time_point paused_until_{};
-    bool silent_ = false;
-    std::optional<load_sighting> seen_;
-    std::vector<attempt_start> started_;
+    bool unresponsive_ = false;
+    std::optional<load_report> last_load_;
+    std::vector<running_attempt> started_;
     backend_health health_;
-    cold_rate cold_;
+    cold_rate_limiter cold_;
 };
 
 } // namespace waxwingvale::decision
--- a/src/decision/grant_borrower.cpp
+++ b/src/decision/grant_borrower.cpp
@@ -43,123 +43,125 @@
     waiting_.erase(request);
     added_.erase(request);
     removed_.insert(request);
-    come_back_.erase(request);
-    for (lender& at : lenders_) {
-        at.declined.erase(request);
+    retry_delays_.erase(request);
+    for (lender& target : lenders_) {
+        target.declined.erase(request);
     }
 }
 
-void grant_borrower::tell(lender& at, ask_slots message, time_point now,
-                          std::vector<scheduler_action>& actions) {
-    at.asked = true;
-    at.asked_at = now;
-    if (at.answered) {
-        at.silent_since = now;
+void grant_borrower::send_ask(lender& target, ask_slots message, time_point now,
+                              std::vector<scheduler_action>& actions) {
+    target.asked = true;
+    target.asked_at = now;
+    if (target.answered) {
+        target.unanswered_since = now;
     }
-    at.answered = false;
+    target.answered = false;
     for (const waiting_request& each : message.waiting) {
-        at.told.insert(each.request);
+        target.pending.insert(each.request);
     }
-    message.peer = at.name;
+    message.peer = target.name;
     actions.emplace_back(std::move(message));
 }
 
-void grant_borrower::name_all(lender& at, const description& describe,
-                              time_point now,
-                              std::vector<scheduler_action>& actions) {
+void grant_borrower::send_full_ask(lender& target, const description& describe,
+                                   time_point now,
+                                   std::vector<scheduler_action>& actions) {
     ask_slots message;
     message.whole = true;
     for (const request_id request : waiting_) {
-        if (!at_once_ && message.waiting.size() == policy_.ask_limit) {
-            break; // own slots serve the rest sooner
+        if (!send_changes_ && message.waiting.size() == policy_.ask_limit) {
+            break; // slots of this instance serve the others sooner
         }
-        if (at.declined.count(request) == 0) {
+        if (target.declined.count(request) == 0) {
             message.waiting.push_back(describe(request));
         }
     }
-    at.named_all_at = now;
-    if (message.waiting.empty() && at.told.empty()) {
-        return; // it has declined all that waits
+    target.full_ask_at = now;
+    if (message.waiting.empty() && target.pending.empty()) {
+        return; // it has declined all waiting requests
     }
-    at.told.clear();
-    tell(at, std::move(message), now, actions);
+    target.pending.clear();
+    send_ask(target, std::move(message), now, actions);
 }
 
-void grant_borrower::name_changes(lender& at, const description& describe,
-                                  time_point now,
-                                  std::vector<scheduler_action>& actions) {
+void grant_borrower::send_ask_changes(lender& target,
+                                      const description& describe,
+                                      time_point now,
+                                      std::vector<scheduler_action>& actions) {
     ask_slots message;
     for (const request_id request : added_) {
-        if (at.told.count(request) == 0) {
+        if (target.pending.count(request) == 0) {
             message.waiting.push_back(describe(request));
         }
     }
     for (const request_id request : removed_) {
-        if (at.told.erase(request) != 0) {
+        if (target.pending.erase(request) != 0) {
             message.withdrawn.push_back(request);
         }
     }
     if (!message.waiting.empty()) {
-        tell(at, std::move(message), now, actions);
+        send_ask(target, std::move(message), now, actions);
     } else if (!message.withdrawn.empty()) {
-        message.peer = at.name; // needs no answer
+        message.peer = target.name; // a withdrawal needs no answer
         actions.emplace_back(std::move(message));
     }
 }
 
-// Nothing waits any more: what lenders still hold of ours is taken back.
-void grant_borrower::withdraw(std::vector<scheduler_action>& actions) {
-    for (lender& at : lenders_) {
-        if (!at.told.empty()) {
-            ask_slots nothing;
-            nothing.peer = at.name;
-            nothing.whole = true;
-            actions.emplace_back(std::move(nothing));
+// Withdraws all pending requests from all lenders once no request waits.
+void grant_borrower::withdraw_all(std::vector<scheduler_action>& actions) {
+    for (lender& target : lenders_) {
+        if (!target.pending.empty()) {
+            ask_slots empty;
+            empty.peer = target.name;
+            empty.whole = true;
+            actions.emplace_back(std::move(empty));
         }
-        at.asked = false;
-        at.answered = true;
-        at.told.clear();
-        at.declined.clear();
+        target.asked = false;
+        target.answered = true;
+        target.pending.clear();
+        target.declined.clear();
     }
 }
 
-// One lender at a time: asking all for one slot would make each hold one
-// back, and all but one of them stand idle for a round trip.
+// Returns at most one lender: if all were asked for the same request, each
+// would reserve a slot for it, and all but one of the slots would stay idle for
+// a round trip.
 grant_borrower::lender* grant_borrower::next_to_ask() {
     lender* best = nullptr;
-    for (lender& at : lenders_) {
-        if (at.asked && !at.answered) {
+    for (lender& target : lenders_) {
+        if (target.asked && !target.answered) {
             return nullptr;
         }
-        if (!at.asked && (best == nullptr || at.idle > best->idle)) {
-            best = &at;
+        if (!target.asked && (best == nullptr || target.idle > best->idle)) {
+            best = &target;
         }
     }
     return best;
 }
 
-void grant_borrower::update(const description& describe, bool at_once,
+void grant_borrower::update(const description& describe, bool send_changes,
                             time_point now,
                             std::vector<scheduler_action>& actions) {
-    at_once_ = at_once;
+    send_changes_ = send_changes;
     if (waiting_.empty()) {
-        withdraw(actions);
+        withdraw_all(actions);
     }
-    for (lender& at : lenders_) {
-        if (waiting_.empty() || !at.asked) {
+    for (lender& target : lenders_) {
+        if (waiting_.empty() || !target.asked) {
             continue;
         }
-        if (now - at.named_all_at >= policy_.ask_refresh) {
-            name_all(at, describe, now, actions);
-        } else if (at_once) {
-            name_changes(at, describe, now, actions);
+        if (now - target.full_ask_at >= policy_.ask_refresh) {
+            send_full_ask(target, describe, now, actions);
+        } else if (send_changes) {
+            send_ask_changes(target, describe, now, actions);
         }
     }
     added_.clear();
     removed_.clear();
     lender* next = waiting_.empty() ? nullptr : next_to_ask();
     if (next != nullptr) {
-        name_all(*next, describe, now, actions);
+        send_full_ask(*next, describe, now, actions);
     }
 }
 
@@ -180,7 +182,7 @@
     if (from == nullptr) {
         return false;
     }
-    from->told.erase(grant.request);
+    from->pending.erase(grant.request);
     return now - from->asked_at <= policy_.ask_lifetime;
 }
 
@@ -192,30 +194,30 @@
     if (from == nullptr || waiting_.count(request) == 0) {
         return std::nullopt;
     }
-    from->told.erase(request);
+    from->pending.erase(request);
     from->declined.insert(request);
-    duration& longest = come_back_[request];
+    duration& longest = retry_delays_[request];
     longest = std::max(longest, declined.come_back_in);
-    const bool by_all =
+    const bool declined_by_all =
         std::all_of(lenders_.begin(), lenders_.end(), [&](const lender& each) {
             return each.declined.count(request) != 0;
         });
-    return by_all ? std::optional<duration>(longest) : std::nullopt;
+    return declined_by_all ? std::optional<duration>(longest) : std::nullopt;
 }
 
 std::optional<std::string> grant_borrower::silent(time_point now) const {
-    for (const lender& at : lenders_) {
-        if (at.asked && !at.answered &&
-            now - at.silent_since >= policy_.silence_limit) {
-            return at.name;
+    for (const lender& target : lenders_) {
+        if (target.asked && !target.answered &&
+            now - target.unanswered_since >= policy_.silence_limit) {
+            return target.name;
         }
     }
     return std::nullopt;
 }
 
 void grant_borrower::forgive_silence(time_point now) {
-    for (lender& at : lenders_) {
-        at.silent_since = now;
+    for (lender& target : lenders_) {
+        target.unanswered_since = now;
     }
 }
 
@@ -224,13 +226,13 @@
     const auto consider = [&](time_point when) {
         next = next ? std::min(*next, when) : when;
     };
-    for (const lender& at : lenders_) {
-        if (!at.asked) {
+    for (const lender& target : lenders_) {
+        if (!target.asked) {
             continue;
         }
-        consider(at.named_all_at + policy_.ask_refresh);
-        if (!at.answered) {
-            consider(at.silent_since + policy_.silence_limit);
+        consider(target.full_ask_at + policy_.ask_refresh);
+        if (!target.answered) {
+            consider(target.unanswered_since + policy_.silence_limit);
         }
     }
     return next;
--- a/src/decision/grant_borrower.hpp
+++ b/src/decision/grant_borrower.hpp
@@ -13,80 +13,86 @@
 
 namespace waxwingvale::decision {
 
-// Tells owners of the requests that wait here for a slot: one owner at a time,
-// the one last heard to have idle slots first, and the next once that one
-// answered that it has none left.
+// Asks owners for slots for the requests that wait at this instance. Asks one
+// owner at a time, starting with the one that last reported the most idle
+// slots, and the next one after that owner has answered.
 class grant_borrower {
 public:
     explicit grant_borrower(const scheduling_policy& policy);
 
-    // The owners to ask; what is known of those that stay is kept.
+    // Sets the owners to ask. The state of owners that were in the previous set
+    // is kept.
     void set_lenders(const std::vector<slot_owner>& owners,
                      const std::string& self,
                      const std::unordered_set<std::string>& reachable);
 
-    // A request waits, or waits no longer.
+    // Adds or removes a waiting request.
     void add(request_id request);
     void remove(request_id request);
 
-    // Asks for, names again or withdraws what has to be. `describe` tells of a
-    // request that waits. An owner, whose own slots serve most of what waits,
-    // names only now and then what does; `at_once` is true for those that
-    // depend on lenders for each request, having no slots that work.
+    // Sends the asks and withdrawals that are due. `describe` returns the
+    // description of a waiting request. An instance whose own slots serve most
+    // waiting requests only sends a full list from time to time; `send_changes`
+    // is true for an instance without working slots, which depends on lenders
+    // for each request and sends each change at once.
     using description = std::function<waiting_request(request_id)>;
-    void update(const description& describe, bool at_once, time_point now,
+    void update(const description& describe, bool send_changes, time_point now,
                 std::vector<scheduler_action>& actions);
 
-    // A message came: the peer is there.
+    // Records a message from the peer, which shows that it responds.
     void heard(const std::string& peer);
     void answered(const ask_answered& answer);
-    // Counts the grant; false when it comes too late to be used: it answers an
-    // ask older than lenders keep, so the slot may be another's by now.
+    // Records the grant. Returns false if it comes too late: it answers an ask
+    // that is older than lenders keep asks, so the slot may be granted to
+    // another instance by now.
     bool received(const grant_received& grant, time_point now);
-    // A lender won't find a slot for it. Once none is left that might, the
-    // longest time to come back is returned.
+    // Records that a lender declined the request. When all lenders have
+    // declined it, returns the longest of their times to come back.
     std::optional<duration> declined(const std::string& peer,
                                      const declined_request& declined);
 
-    // A lender that did not answer for too long, or none. Time in which this
-    // process itself did not run does not count.
+    // Returns a lender that has not answered within the silence limit, if any.
+    // forgive_silence() restarts the limits of all lenders, because time during
+    // which this process itself was suspended does not count.
     std::optional<std::string> silent(time_point now) const;
     void forgive_silence(time_point now);
 
     bool has_lenders() const { return !lenders_.empty(); }
-    // When the requests must be named again or count as unanswered.
+    // When the next full ask is due or the next lender counts as unresponsive.
     std::optional<time_point> next_change() const;
 
 private:
     struct lender {
         std::string name;
-        unsigned idle = 0;         // as it last said
-        bool asked = false;        // it knows of requests
-        bool answered = true;      // since the last ask
-        time_point asked_at{};     // when it last got a message
-        time_point named_all_at{}; // when all that waits was last named
-        time_point silent_since{}; // first ask without an answer
-        std::set<request_id> told; // and neither granted nor declined
+        unsigned idle = 0;             // idle slots, as last reported
+        bool asked = false;            // holds an ask of this instance
+        bool answered = true;          // since the last ask
+        time_point asked_at{};         // when the last ask was sent
+        time_point full_ask_at{};      // when the last full ask was sent
+        time_point unanswered_since{}; // first ask that it has not answered
+        // Requests that it was asked for and has neither granted nor declined.
+        std::set<request_id> pending;
         std::set<request_id> declined;
     };
 
     lender* find(const std::string& peer);
     lender* next_to_ask();
-    void name_all(lender& at, const description& describe, time_point now,
+    void send_full_ask(lender& target, const description& describe,
+                       time_point now, std::vector<scheduler_action>& actions);
+    void send_ask_changes(lender& target, const description& describe,
+                          time_point now,
+                          std::vector<scheduler_action>& actions);
+    void send_ask(lender& target, ask_slots message, time_point now,
                   std::vector<scheduler_action>& actions);
-    void name_changes(lender& at, const description& describe, time_point now,
-                      std::vector<scheduler_action>& actions);
-    void tell(lender& at, ask_slots message, time_point now,
-              std::vector<scheduler_action>& actions);
-    void withdraw(std::vector<scheduler_action>& actions);
+    void withdraw_all(std::vector<scheduler_action>& actions);
 
     scheduling_policy policy_;
     std::vector<lender> lenders_;
-    bool at_once_ = true;
+    bool send_changes_ = true;
     std::set<request_id> waiting_;
     std::set<request_id> added_; // since the last update
     std::set<request_id> removed_;
-    std::unordered_map<request_id, duration> come_back_;
+    std::unordered_map<request_id, duration> retry_delays_;
 };
 
 } // namespace waxwingvale::decision
--- a/src/decision/grant_lender.cpp
+++ b/src/decision/grant_lender.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// Grant numbers of two incarnations must not meet: a grant returned late to a
-// restarted owner would free a slot that is in use. The upper half comes from
-// the incarnation, the lower counts.
+// Grant numbers of two incarnations must not coincide: a grant that is returned
+// late to a restarted owner would free a slot that is in use. The upper half is
+// a hash of the name and incarnation; the lower half counts.
 grant_id first_grant(const member_id& self) {
     constexpr grant_id lower_half = 0xffffffffULL;
     return stable_hash(self.name, self.incarnation) & ~lower_half;
--- a/src/decision/grant_lender.hpp
+++ b/src/decision/grant_lender.hpp
@@ -14,7 +14,7 @@
 
 namespace waxwingvale::decision {
 
-// A slot given to a peer for one of its requests.
+// A slot that is granted to a peer for one of its requests.
 struct given_grant {
     request_origin origin;
     std::string request_class;
@@ -23,20 +23,21 @@
     time_point lease_end{};
 };
 
-// An owner's account of the slots that peers hold.
+// The grants of an owner: its slots that peers use.
 class grant_lender {
 public:
     explicit grant_lender(const member_id& self);
 
     grant_id give(given_grant given);
-    // Whether the peer holds a slot for that request: it named the request
-    // again before the grant reached it.
+    // Whether the peer already has a grant for the request. It may ask for the
+    // request again before the grant reaches it.
     bool holds(const request_origin& origin) const;
-    // Ends the grant; none when it is unknown, another's, or ended before.
+    // Ends a grant that the peer returns. Returns nothing if the grant is
+    // unknown, belongs to another peer, or has ended before.
     std::optional<given_grant> take_back(const std::string& peer,
                                          grant_id grant);
-    // Ends one grant whose lease has run out: the peer may have died, and
-    // without an end the slot would be lost for good.
+    // Ends one grant whose lease has expired, if any. The peer may have died;
+    // without a limit its slot would be lost for good.
     std::optional<given_grant> take_expired(time_point now);
     std::optional<time_point> next_expiry() const;
     std::size_t given() const { return given_.size(); }
--- a/src/decision/latency_estimator.hpp
+++ b/src/decision/latency_estimator.hpp
@@ -4,23 +4,24 @@
 
 namespace waxwingvale::decision {
 
-// Running estimates of a service time: the mean for rates, a typical value
-// that the rare slow call hardly moves, and a high quantile for margins.
+// Running estimates of a service time: the mean (for rates), the geometric mean
+// (a typical value that rare slow calls hardly change), and a high quantile
+// (for safety margins).
 class latency_estimator {
 public:
-    // Until answers were seen all estimates equal the prior (the file's
-    // typical time).
+    // Before the first sample all estimates equal the prior, the typical time
+    // from the configuration.
     latency_estimator(duration prior, double quantile);
 
     void add(duration sample);
 
     duration mean() const;
-    duration typical() const;
-    duration high() const; // the quantile
-    // log(sample / typical): 0 is usual, log(8) is eight times slower.
+    duration typical() const; // geometric mean
+    duration high() const;    // the quantile given to the constructor
+    // log(sample / typical()): 0 is typical, log(8) is eight times slower.
     double relative_log(duration sample) const;
-    // Natural logarithm of the typical time in microseconds, and by how much
-    // logarithms of samples deviate from it.
+    // Natural logarithm of the typical time in microseconds, and the standard
+    // deviation of the logarithms of samples.
     double typical_log() const { return typical_log_; }
     double log_spread() const;
     unsigned samples() const { return samples_; }
--- a/src/decision/ownership.cpp
+++ b/src/decision/ownership.cpp
@@ -3,14 +3,14 @@
 #include <algorithm>
 #include <tuple>
 
-#include "decision/machine_strength.hpp"
+#include "decision/fleet_capacity.hpp"
 #include <waxwingvale/decision/stable_hash.hpp>
 
 namespace waxwingvale::decision {
 
 namespace {
 
-bool may_own(const member& candidate) {
+bool is_eligible(const member& candidate) {
     return candidate.state == member_state::alive ||
            candidate.state == member_state::suspect;
 }
@@ -32,32 +32,34 @@
 }
 
 struct scored_member {
-    bool strong = true;
+    bool high_capacity = true;
     std::uint64_t score = 0;
     const member* candidate = nullptr;
 };
 
-// Strong members first, then by falling score, one of each name: while an
-// instance is replaced the list may hold both of its incarnations, and the
-// later one counts.
+// Members with high capacity first, then by descending score. Each name occurs
+// once: while an instance is replaced, the list may contain two of its
+// incarnations, of which the later one is used.
 std::vector<scored_member> ranked_members(const service& of,
                                           const std::vector<member>& members) {
     std::vector<scored_member> ranked;
-    const machine_strength strength(members);
+    const fleet_capacity capacity(members);
     for (const member& candidate : members) {
-        if (!may_own(candidate)) {
+        if (!is_eligible(candidate)) {
             continue;
         }
         const auto score = stable_hash(candidate.id.name, stable_hash(of.name));
-        ranked.push_back({strength.is_strong(candidate), score, &candidate});
+        ranked.push_back(
+            {capacity.has_high_capacity(candidate), score, &candidate});
     }
-    std::sort(ranked.begin(), ranked.end(),
-              [](const scored_member& a, const scored_member& b) {
-                  return std::tie(b.strong, b.score, a.candidate->id.name,
-                                  b.candidate->id.incarnation) <
-                         std::tie(a.strong, a.score, b.candidate->id.name,
-                                  a.candidate->id.incarnation);
-              });
+    std::sort(
+        ranked.begin(), ranked.end(),
+        [](const scored_member& a, const scored_member& b) {
+            return std::tie(b.high_capacity, b.score, a.candidate->id.name,
+                            b.candidate->id.incarnation) <
+                   std::tie(a.high_capacity, a.score, b.candidate->id.name,
+                            a.candidate->id.incarnation);
+        });
     const auto same_name = [](const scored_member& a, const scored_member& b) {
         return a.candidate->id.name == b.candidate->id.name;
     };
@@ -66,9 +68,9 @@
     return ranked;
 }
 
-// Takes members by rank but passes over data centres already taken while
-// others are left: were all owners in one, its loss would stop the service
-// until the members are seen as gone.
+// Selects members by rank, but from data centres already used only if no other
+// is left. If all owners were in one data centre, its loss would stop the
+// service until the members are detected as gone.
 std::vector<slot_owner> pick_owners(const std::vector<scored_member>& ranked,
                                     std::size_t count) {
     std::vector<slot_owner> owners;
@@ -77,38 +79,39 @@
         std::vector<std::string> used;
         for (std::size_t i = 0; i < ranked.size() && owners.size() < count;
              ++i) {
-            const std::string& centre = ranked[i].candidate->data_centre;
+            const std::string& data_centre = ranked[i].candidate->data_centre;
             const bool seen =
-                std::find(used.begin(), used.end(), centre) != used.end();
+                std::find(used.begin(), used.end(), data_centre) != used.end();
             if (taken[i] || seen) {
                 continue;
             }
             taken[i] = true;
-            used.push_back(centre);
-            owners.push_back({ranked[i].candidate->id, centre, {}, 0});
+            used.push_back(data_centre);
+            owners.push_back({ranked[i].candidate->id, data_centre, {}, 0});
         }
     }
     return owners;
 }
 
-// The owner with room that the server prefers: one in its own data centre
-// first, then by rendezvous.
+// Returns the preferred owner of the server among those that stay within
+// max_slots: owners in the server's data centre first, then by rendezvous
+// hashing.
 slot_owner* preferred_owner(std::vector<slot_owner>& owners,
-                            const backend_server& server, unsigned room_for) {
+                            const backend_server& server, unsigned max_slots) {
     slot_owner* best = nullptr;
-    bool best_is_near = false;
+    bool best_is_local = false;
     std::uint64_t best_score = 0;
     for (slot_owner& owner : owners) {
-        if (owner.slots + server.slots > room_for) {
+        if (owner.slots + server.slots > max_slots) {
             continue;
         }
-        const bool near = owner.data_centre == server.data_centre;
+        const bool is_local = owner.data_centre == server.data_centre;
         const auto score =
             stable_hash(owner.member.name, stable_hash(server.name));
         if (best == nullptr ||
-            std::tie(near, score) > std::tie(best_is_near, best_score)) {
+            std::tie(is_local, score) > std::tie(best_is_local, best_score)) {
             best = &owner;
-            best_is_near = near;
+            best_is_local = is_local;
             best_score = score;
         }
     }
@@ -141,19 +144,19 @@
     return servers;
 }
 
-void give(slot_owner& owner, const backend_server& server) {
+void assign(slot_owner& owner, const backend_server& server) {
     owner.backend_servers.push_back(server.name);
     owner.slots += server.slots;
 }
 
-// Each server to the owner that it prefers, in an order that all instances
-// agree on.
-void divide(const service& of, std::vector<slot_owner>& owners) {
+// Assigns each server to its preferred owner, in an order that is the same on
+// all instances.
+void assign_servers(const service& of, std::vector<slot_owner>& owners) {
     const auto count = static_cast<unsigned>(owners.size());
-    const unsigned room = (total_slots(of) + count - 1) / count;
+    const unsigned max_slots = (total_slots(of) + count - 1) / count;
     for (const hashed_server& each : servers_by_hash(of)) {
-        slot_owner* owner = preferred_owner(owners, *each.server, room);
-        give(owner != nullptr ? *owner : least_loaded(owners), *each.server);
+        slot_owner* owner = preferred_owner(owners, *each.server, max_slots);
+        assign(owner != nullptr ? *owner : least_loaded(owners), *each.server);
     }
 }
 
@@ -186,10 +189,10 @@
     result.owners = std::move(picked);
     if (result.owners.size() == 1) {
         for (const backend_server& server : of.backend_servers) {
-            give(result.owners.front(), server);
+            assign(result.owners.front(), server);
         }
     } else {
-        divide(of, result.owners);
+        assign_servers(of, result.owners);
     }
     for (slot_owner& owner : result.owners) {
         std::sort(owner.backend_servers.begin(), owner.backend_servers.end());
@@ -208,17 +211,17 @@
 
 ownership with_standbys(const ownership& planned, const std::string& self,
                         const std::unordered_set<std::string>& reachable) {
-    const auto at_hand = [&](const slot_owner& each) {
+    const auto is_reachable = [&](const slot_owner& each) {
         return each.member.name == self ||
                reachable.count(each.member.name) != 0;
     };
-    ownership acted = planned;
+    ownership result = planned;
     auto next = planned.standbys.begin();
-    for (slot_owner& owner : acted.owners) {
-        if (at_hand(owner)) {
+    for (slot_owner& owner : result.owners) {
+        if (is_reachable(owner)) {
             continue;
         }
-        next = std::find_if(next, planned.standbys.end(), at_hand);
+        next = std::find_if(next, planned.standbys.end(), is_reachable);
         if (next == planned.standbys.end()) {
             break;
         }
@@ -226,7 +229,7 @@
         owner.data_centre = next->data_centre;
         ++next;
     }
-    return acted;
+    return result;
 }
 
 const slot_owner* find_owner_of(const ownership& owners,
--- a/src/decision/silent_owners.hpp
+++ b/src/decision/silent_owners.hpp
@@ -9,47 +9,49 @@
 
 namespace waxwingvale::decision {
 
-// Peers that ought to hand out slots, are linked with us, and don't: they leave
-// asks without an answer or say that they are no owner. They count as out of
-// reach and are asked for a word now and then, because nothing else may bring
-// them back: an ask that came before the peer had its configuration is never
-// answered, and a peer that becomes an owner does not know whom it told that it
-// was none. Until then this instance would use a share of slots that the owner
-// gives to others as well.
+// Peers that are owners according to the view and connected, but do not grant
+// slots: they leave asks unanswered or answer that they are no owner. They
+// count as unreachable. Each is regularly asked for a status answer, because it
+// may not respond otherwise: an ask that arrives before the peer has its
+// configuration is never answered, and a peer that becomes an owner does not
+// know which instances it has told that it was none. Without these checks this
+// instance would keep using a share of slots that the owner also grants to
+// others.
 class silent_owners {
 public:
-    // How often each is asked for a word.
-    explicit silent_owners(duration look_period) : period_(look_period) {}
+    // check_period: how often each peer is asked for a status answer.
+    explicit silent_owners(duration check_period) : period_(check_period) {}
 
-    // Left an ask without an answer. Both are true when the peer was not among
-    // them.
+    // Adds a peer that left an ask unanswered. This and add_denying() return
+    // true if the peer is new in the set.
     bool add_silent(const std::string& peer, time_point now);
-    // Said that it is no owner.
+    // Adds a peer that answered that it is no owner.
     bool add_denying(const std::string& peer, time_point now);
-    // Anything was heard of the peer, which ends its silence but makes it no
-    // owner. This and remove() are true when the peer was among them and is no
-    // longer.
+    // Records a message of any kind from the peer. Removes the peer if it was
+    // only unresponsive; a message does not make it an owner. This and remove()
+    // return true if the peer was removed.
     bool heard(const std::string& peer);
-    // It has acted as an owner, or its link has closed.
+    // Removes a peer that has acted as an owner or whose connection has closed.
     bool remove(const std::string& peer);
 
-    // Something may be different now for each of them. Said again within the
-    // time between two looks it counts for nothing: the next one will see.
+    // Makes the checks of all peers due now, since their state may have
+    // changed. Calls within one check period of the last effective one are
+    // ignored; the next regular check covers them.
     void look_at_once(time_point now);
-    // Those to be asked for a word now.
+    // Returns the peers whose check is due and schedules their next check.
     std::vector<std::string> take_due(time_point now);
     std::optional<time_point> next_look() const;
     std::vector<std::string> names() const;
 
 private:
-    struct silence {
-        bool denies = false;
-        time_point next_look{};
+    struct peer_state {
+        bool not_owner = false;
+        time_point check_at{};
     };
 
     duration period_;
-    time_point next_at_once_{};
-    std::map<std::string, silence> peers_;
+    time_point next_forced_check_{};
+    std::map<std::string, peer_state> peers_;
 };
 
 } // namespace waxwingvale::decision
--- a/src/decision/slot_choice.cpp
+++ b/src/decision/slot_choice.cpp
@@ -1,4 +1,4 @@
-// The part of slot_table that chooses among free slots.
+// Choice among free slots, and sums over slots, of slot_table.
 
 #include <algorithm>
 #include <cmath>
@@ -10,117 +10,126 @@
 
 namespace {
 
-// A request that must not run twice is the sample for a failing server only
-// when no harmless one came by for so long: it may end as unknown.
+// Additional delay before a request that must not run twice is used as a sample
+// of a failing server, where it may end with an unknown outcome. Within this
+// time a retriable request may be the sample instead.
 constexpr duration write_sample_delay{2000000};
 
-// How long sums of what servers told are used: their paces last for many times
-// as long, and of 268 servers each sum takes some microseconds, for every
-// request that is admitted.
+// Lifetime of cached sums over load reports. The slowness of servers lasts many
+// times as long, and computing a sum over 268 servers takes some microseconds,
+// for each admitted request.
 constexpr duration estimate_lifetime{2000};
 
-// The slot must be of a server that the request may ever run on.
 bool suits(const slot_wish& wish, const backend_slots& server) {
     return wish.request == nullptr || may_run_on(*wish.request, server);
 }
 
-// The probability that a normally distributed value lies below that many
-// standard deviations: the logistic function, within 0.01 of it and cheap.
+// Approximates the standard normal distribution function by a logistic
+// function, which is cheap and within 0.01 of it.
 double probability_below(double deviations) {
     constexpr double logistic_scale = 1.702;
     return 1.0 / (1.0 + std::exp(-logistic_scale * deviations));
 }
 
-bool shut(const backend_slots& server) {
-    return server.health().failing() || server.silent();
+bool is_excluded(const backend_slots& server) {
+    return server.health().failing() || server.unresponsive();
 }
 
 } // namespace
 
-// Failing and silent servers are shut out only while they are the minority:
-// when most fail, the fault is more likely in the requests or in what all
-// depend on.
-bool slot_table::shuts_out_failing() const {
+// Whether failing and unresponsive servers are excluded. If they are the
+// majority, they are used: the fault is more likely in the requests or in
+// something that all servers depend on.
+bool slot_table::excludes_failing() const {
     std::size_t failing = 0;
     std::size_t serving = 0;
     for (const index place : usable_) {
         const backend_slots& server = servers_[place];
-        serving += server.vetoed() ? 0 : 1;
-        failing += !server.vetoed() && shut(server) ? 1 : 0;
+        serving += server.unavailable() ? 0 : 1;
+        failing += !server.unavailable() && is_excluded(server) ? 1 : 0;
     }
     return failing * 2 <= serving;
 }
 
-bool slot_table::sampled(const backend_slots& server, const slot_wish& wish,
-                         time_point now) const {
+bool slot_table::sample_is_due(const backend_slots& server,
+                               const slot_wish& wish, time_point now) const {
     return server.health().sample_due(
         wish.may_sample ? now : now - write_sample_delay);
 }
 
 bool slot_table::admits(const backend_slots& server, const slot_wish& wish,
                         time_point now) const {
-    if (server.silent()) {
-        return false; // probes go on, and tell when it is back
+    if (server.unresponsive()) {
+        return false; // probes continue and show when it is back
     }
     if (server.health().failing()) {
-        return sampled(server, wish, now);
+        return sample_is_due(server, wish, now);
     }
-    if (!server.health().straggler() || sampled(server, wish, now)) {
+    if (!server.health().straggler() || sample_is_due(server, wish, now)) {
         return true;
     }
-    // A slow slot is worth its while once waiting for the others would take
-    // longer than the slow answer.
+    // A straggler is worth using if waiting for the other servers would take
+    // longer than its additional service time.
     const double extra = (server.health().slowness() - 1.0) *
                          static_cast<double>(wish.typical.count());
     return static_cast<double>(wish.backlog.count()) > extra;
 }
 
-double slot_table::crowding_log(const backend_slots& server) const {
-    return crowding_.log_ratio(server.in_flight() + 1, server.configured());
+double slot_table::contention_log(const backend_slots& server) const {
+    return contention_.log_slowdown(server.in_flight() + 1,
+                                    server.configured());
 }
 
 double slot_table::expected_log_factor(index place) const {
     const backend_slots& server = servers_[place];
-    const double told = server.seen() ? server.seen()->load.slowness : 1.0;
+    const double reported =
+        server.last_load() ? server.last_load()->load.slowness : 1.0;
     const double residual =
         server.health().slow() ? server.health().slowness() : 1.0;
-    return crowding_log(server) + std::log(told * residual);
+    return contention_log(server) + std::log(reported * residual);
 }
 
-// The probability that what the server told of its pace still holds.
-double slot_table::word_holds(const backend_slots& server,
-                              time_point now) const {
-    return server.seen() ? pace_.holds(now - server.seen()->at) : 0.0;
+// Returns the probability that the slowness in the last report is still valid.
+double slot_table::report_validity(const backend_slots& server,
+                                   time_point now) const {
+    return server.last_load() ? slowness_model_.probability_unchanged(
+                                    now - server.last_load()->at)
+                              : 0.0;
 }
 
 double slot_table::expected_slowness(const backend_slots& server,
-                                     double holds) const {
-    const double told = server.seen() ? server.seen()->load.slowness : 1.0;
-    return holds * told + (1.0 - holds) * pace_.mean_slowness();
-}
-
-// The answers that are expected in time, as probabilities. Of hundreds of
-// servers most told the same pace and run as many requests, so that each
-// probability is worked out once for a choice and not for each server. Ten
-// seconds of 268 servers at up to 1.6 times their capacity then take 1.9 s of a
-// processor and not 4.4 (waxwing-replay, mixed-shared-large, rush).
-class slot_table::timeliness {
+                                     double report_valid) const {
+    const double reported =
+        server.last_load() ? server.last_load()->load.slowness : 1.0;
+    return report_valid * reported +
+           (1.0 - report_valid) * slowness_model_.mean_slowness();
+}
+
+// Computes and caches the probability that an answer is in time. Most of
+// hundreds of servers report the same slowness and run the same number of
+// requests, so that each probability is computed once per choice and not once
+// per server. This reduces the CPU time for ten seconds of 268 servers at up
+// to 1.6 times their capacity from 4.4 s to 1.9 s (waxwing-replay,
+// mixed-shared-large, rush).
+class slot_table::in_time_estimator {
 public:
-    timeliness(const work_forecast& forecast, const slowness_process& pace)
-        : forecast_(forecast), pace_(pace) {}
-
-    // When the work takes longer than usual by that logarithm.
-    double at(double extra_log) {
-        return known(told_, extra_log,
-                     [this](double extra) { return in_time(extra); });
+    in_time_estimator(const work_forecast& forecast,
+                      const slowness_model& slowness)
+        : forecast_(forecast), slowness_model_(slowness) {}
+
+    // If the work takes longer than typical by a factor exp(extra_log).
+    double probability(double extra_log) {
+        return cached(at_reported_slowness_, extra_log,
+                      [this](double extra) { return in_time(extra); });
     }
 
-    // When the server's pace is any of those that its fellows have, and what
-    // else slows it down makes it longer by that logarithm.
-    double at_any_pace(double extra_log) {
-        return known(any_, extra_log, [this](double extra) {
+    // If the slowness is unknown and distributed as in the slowness model, and
+    // other influences slow the work down by a factor exp(extra_log).
+    double probability_at_unknown_slowness(double extra_log) {
+        return cached(at_unknown_slowness_, extra_log, [this](double extra) {
             double sum = 0;
-            for (const slowness_process::level& level : pace_.levels()) {
+            for (const slowness_model::level& level :
+                 slowness_model_.levels()) {
                 sum += level.share > negligible_share
                            ? level.share * in_time(extra + level.log_slowness)
                            : 0.0;
@@ -131,11 +140,11 @@
 
 private:
     static constexpr double negligible_share = 0.01;
-    // Servers that fell behind have a slowness of their own each; past so many
-    // different ones, looking them up takes longer than working them out.
-    static constexpr std::size_t most_known = 8;
+    // Slow servers each have a different slowness. With more cached values, a
+    // look-up would take longer than the computation.
+    static constexpr std::size_t max_cached = 8;
 
-    struct known_value {
+    struct cached_value {
         double extra_log;
         double probability;
     };
@@ -147,40 +156,44 @@
     }
 
     template <typename Work>
-    static double known(std::vector<known_value>& values, double extra_log,
-                        Work work_out) {
-        for (const known_value& each : values) {
+    static double cached(std::vector<cached_value>& values, double extra_log,
+                         Work compute) {
+        for (const cached_value& each : values) {
             if (each.extra_log == extra_log) {
                 return each.probability;
             }
         }
-        const double probability = work_out(extra_log);
-        if (values.size() < most_known) {
+        const double probability = compute(extra_log);
+        if (values.size() < max_cached) {
             values.push_back({extra_log, probability});
         }
         return probability;
     }
 
     const work_forecast& forecast_;
-    const slowness_process& pace_;
-    std::vector<known_value> told_;
-    std::vector<known_value> any_;
+    const slowness_model& slowness_model_;
+    std::vector<cached_value> at_reported_slowness_;
+    std::vector<cached_value> at_unknown_slowness_;
 };
 
-// The probability that an answer comes in time when the work begins there now.
-// The server's pace is the one that it told last, or by now any of those that
-// its fellows have.
-double slot_table::chance(const backend_slots& server, double holds,
-                          timeliness& answers) const {
-    double extra = crowding_log(server);
+// Returns the probability that an answer is in time if the work starts on the
+// server now. The slowness is the last reported one with probability
+// report_valid, and otherwise distributed as in the slowness model.
+double slot_table::in_time_probability(const backend_slots& server,
+                                       double report_valid,
+                                       in_time_estimator& estimator) const {
+    double extra = contention_log(server);
     if (server.health().slow()) {
         extra += std::log(server.health().slowness());
     }
-    double chance = (1.0 - holds) * answers.at_any_pace(extra);
-    if (server.seen()) {
-        chance += holds * answers.at(extra + server.seen()->log_slowness);
+    double probability =
+        (1.0 - report_valid) * estimator.probability_at_unknown_slowness(extra);
+    if (server.last_load()) {
+        probability +=
+            report_valid *
+            estimator.probability(extra + server.last_load()->log_slowness);
     }
-    return chance;
+    return probability;
 }
 
 double slot_table::time_cost(index place, const slot_wish& wish) const {
@@ -190,71 +203,78 @@
     const double slowness =
         server.health().slow() ? server.health().slowness() : 1.0;
     const auto typical = static_cast<double>(wish.typical.count());
-    const auto way =
+    const auto crossing_time =
         static_cast<double>(policy_.other_data_centre_cost.count());
-    const bool near = server.data_centre() == wish.data_centre;
+    const bool is_local = server.data_centre() == wish.data_centre;
     return typical * slowness *
-               crowding_.ratio(server.in_flight() + 1, server.configured()) *
+               contention_.slowdown(server.in_flight() + 1,
+                                    server.configured()) *
                (1.0 + policy_.load_cost * load) +
-           (near ? 0.0 : way);
+           (is_local ? 0.0 : crossing_time);
 }
 
-// What is lost, in parts of an answer's worth: by being late, by crossing
-// between data centres, by taking more of a server's time than elsewhere.
-double slot_table::loss(const backend_slots& server, const slot_wish& wish,
-                        double chance, double holds) const {
-    const bool near = server.data_centre() == wish.data_centre;
+// Returns the expected loss as a fraction of the answer's value: by a late
+// answer, by traffic between data centres, and by using more server time than
+// on an idle server of normal speed.
+double slot_table::expected_loss(const backend_slots& server,
+                                 const slot_wish& wish, double in_time,
+                                 double report_valid) const {
+    const bool is_local = server.data_centre() == wish.data_centre;
     const double load = static_cast<double>(server.in_flight()) /
                         static_cast<double>(std::max(server.limit(), 1U));
-    const double longer =
-        expected_slowness(server, holds) *
-            crowding_.ratio(server.in_flight() + 1, server.configured()) -
+    const double extra_time =
+        expected_slowness(server, report_valid) *
+            contention_.slowdown(server.in_flight() + 1, server.configured()) -
         1.0;
-    return 1.0 - chance + (near ? 0.0 : wish.crossing_loss) +
-           policy_.longer_work_loss * (longer + policy_.load_cost * load);
+    return 1.0 - in_time + (is_local ? 0.0 : wish.crossing_loss) +
+           policy_.longer_work_loss * (extra_time + policy_.load_cost * load);
 }
 
-double slot_table::cost(index place, const slot_wish& wish, timeliness* answers,
-                        time_point now) const {
+double slot_table::cost(index place, const slot_wish& wish,
+                        in_time_estimator* estimator, time_point now) const {
     const backend_slots& server = servers_[place];
-    if (server.health().watched() && sampled(server, wish, now)) {
-        return 0; // first choice, or it would never be seen to recover
+    if (server.health().needs_sampling() && sample_is_due(server, wish, now)) {
+        return 0; // preferred; otherwise its recovery would not be noticed
     }
-    if (answers == nullptr) {
+    if (estimator == nullptr) {
         return time_cost(place, wish);
     }
-    const double holds = word_holds(server, now);
-    const double in_time = chance(server, holds, *answers);
-    const double lost = loss(server, wish, in_time, holds);
-    // Rather than work for an answer that will be late, or is sent far, the
-    // request waits for a better slot while there is still time for one.
+    const double report_valid = report_validity(server, now);
+    const double in_time =
+        in_time_probability(server, report_valid, *estimator);
+    const double lost = expected_loss(server, wish, in_time, report_valid);
+    // If the loss is too high, the request waits for a better slot instead. The
+    // tolerated loss increases with the time that it has waited.
     return lost > wish.tolerated_loss ? std::numeric_limits<double>::infinity()
                                       : lost;
 }
 
-bool slot_table::only_passed_over() const {
+bool slot_table::none_working() const {
     return working_slots() == 0;
 }
 
-// Slots in use beyond the number that does the most work are left free.
-unsigned slot_table::room(const backend_slots& server, time_point now) const {
-    const unsigned best = crowding_.best_count(server.configured());
-    return server.in_flight() >= best ? 0 : server.free(now);
+// Returns the free slots up to the concurrency with the highest throughput.
+unsigned slot_table::usable_slots(const backend_slots& server,
+                                  time_point now) const {
+    const unsigned best = contention_.best_concurrency(server.configured());
+    return server.in_flight() >= best ? 0 : server.free_slots(now);
 }
 
-// Whether some server works in that data centre at all.
-bool slot_table::any_near(const std::string& data_centre) const {
+// Whether there is a working server in the data centre.
+bool slot_table::any_working_in(const std::string& data_centre) const {
     return std::any_of(usable_.begin(), usable_.end(), [&](index place) {
         const backend_slots& server = servers_[place];
-        return server.data_centre() == data_centre && working_share(server) > 0;
+        return server.data_centre() == data_centre &&
+               working_slots_of(server) > 0;
     });
 }
 
-// From the next one on: were the first server always preferred among equals,
-// nothing would be learned of the others while load is low.
+// Starts the search at a different server each time. If the first server were
+// always preferred among equal ones, nothing would be learned about the others
+// under low load.
 std::optional<slot_table::index> slot_table::choose(const slot_wish& wish,
                                                     time_point now) const {
-    return choose_from(wish, now, usable_, turn_);
+    return choose_from(wish, now, usable_, next_start_);
 }
 
 std::optional<slot_table::index>
@@ -267,55 +287,57 @@
 slot_table::choose_from(const slot_wish& wish, time_point now,
                         const std::vector<index>& among,
                         std::size_t first) const {
-    if (wish.crossing_loss > 0 && !any_near(wish.data_centre)) {
-        slot_wish elsewhere = wish;
-        elsewhere.crossing_loss = 0; // there is nothing to wait for
-        return choose_from(elsewhere, now, among, first);
+    if (wish.crossing_loss > 0 && !any_working_in(wish.data_centre)) {
+        slot_wish without_crossing_loss = wish;
+        without_crossing_loss.crossing_loss = 0; // no near slot to wait for
+        return choose_from(without_crossing_loss, now, among, first);
     }
-    std::optional<timeliness> answers;
+    std::optional<in_time_estimator> estimator;
     if (wish.forecast) {
-        answers.emplace(*wish.forecast, pace_);
+        estimator.emplace(*wish.forecast, slowness_model_);
     }
     std::optional<index> best;
     std::optional<index> fallback;
     double best_cost = std::numeric_limits<double>::max();
     double fallback_cost = std::numeric_limits<double>::max();
     for (std::size_t i = 0; i < among.size(); ++i) {
-        const std::size_t turn = first + i;
+        const std::size_t offset = first + i;
         const index place =
-            among[turn < among.size() ? turn : turn - among.size()];
+            among[offset < among.size() ? offset : offset - among.size()];
         const backend_slots& server = servers_[place];
-        const bool alone = !wish.isolated || server.in_flight() == 0;
-        const bool ours = !wish.lent || owned_[place];
-        if (room(server, now) == 0 || !alone || !ours || !suits(wish, server)) {
+        const bool fits_isolation = !wish.isolated || server.in_flight() == 0;
+        const bool fits_owner = !wish.lent || owned_[place];
+        if (usable_slots(server, now) == 0 || !fits_isolation || !fits_owner ||
+            !suits(wish, server)) {
             continue;
         }
-        const double price =
-            cost(place, wish, answers ? &*answers : nullptr, now);
+        const double slot_cost =
+            cost(place, wish, estimator ? &*estimator : nullptr, now);
         const bool admitted = admits(server, wish, now);
-        if (admitted && price < best_cost) {
+        if (admitted && slot_cost < best_cost) {
             best = place;
-            best_cost = price;
-        } else if (!admitted && price < fallback_cost) {
+            best_cost = slot_cost;
+        } else if (!admitted && slot_cost < fallback_cost) {
             fallback = place;
-            fallback_cost = price;
+            fallback_cost = slot_cost;
         }
     }
     if (best || !fallback) {
         return best;
     }
-    // An owner whose servers all fail would take every error for itself while
-    // other owners' servers are well.
-    if (wish.patient && shut(servers_[*fallback])) {
+    // If all servers of this owner fail, the request waits for a slot of
+    // another owner, whose servers may work, instead of ending in an error
+    // here.
+    if (wish.patient && is_excluded(servers_[*fallback])) {
         return std::nullopt;
     }
-    const bool nothing_better = !shuts_out_failing() || only_passed_over();
+    const bool nothing_better = !excludes_failing() || none_working();
     return nothing_better ? fallback : std::nullopt;
 }
 
-unsigned slot_table::working_share(const backend_slots& server) const {
-    const bool works = !shut(server) && !server.health().straggler();
-    const unsigned best = crowding_.best_count(server.configured());
+unsigned slot_table::working_slots_of(const backend_slots& server) const {
+    const bool works = !is_excluded(server) && !server.health().straggler();
+    const unsigned best = contention_.best_concurrency(server.configured());
     return works ? std::min(server.limit(), best) : 0;
 }
 
@@ -323,37 +345,38 @@
                           time_point now) const {
     const std::vector<index>& places = among ? *among : usable_;
     return std::any_of(places.begin(), places.end(), [&](index place) {
-        return room(servers_[place], now) > 0;
+        return usable_slots(servers_[place], now) > 0;
     });
 }
 
 bool slot_table::any_idle(time_point now) const {
     return std::any_of(usable_.begin(), usable_.end(), [&](index place) {
         const backend_slots& server = servers_[place];
-        return room(server, now) > 0 && working_share(server) > 0;
+        return usable_slots(server, now) > 0 && working_slots_of(server) > 0;
     });
 }
 
-// Asked for with every event, and changed by what ends only.
-const slot_table::totals& slot_table::now_total() const {
+// Cached, because the sums are needed for each event but change only when an
+// attempt or a probe ends or the view changes.
+const slot_table::totals& slot_table::current_totals() const {
     if (totals_) {
         return *totals_;
     }
     totals sum;
     for (const index place : usable_) {
         const backend_slots& server = servers_[place];
-        sum.working += working_share(server);
-        sum.counted += working_share(server) * server.part();
+        sum.working += working_slots_of(server);
+        sum.weighted += working_slots_of(server) * server.fair_share();
         sum.busy_log_factor =
             std::max(sum.busy_log_factor,
-                     crowding_.log_ratio_at_best(server.configured()));
+                     contention_.log_slowdown_at_best(server.configured()));
     }
     totals_ = sum;
     return *totals_;
 }
 
 unsigned slot_table::working_slots() const {
-    return now_total().working;
+    return current_totals().working;
 }
 
 unsigned slot_table::busy_slots() const {
@@ -365,48 +388,52 @@
 }
 
 double slot_table::counted_slots() const {
-    return now_total().counted;
+    return current_totals().weighted;
 }
 
 unsigned slot_table::idle_slots(time_point now) const {
     unsigned sum = 0;
     for (const index place : usable_) {
         const backend_slots& server = servers_[place];
-        sum += working_share(server) > 0 ? room(server, now) : 0;
+        sum += working_slots_of(server) > 0 ? usable_slots(server, now) : 0;
     }
     return sum;
 }
 
-// The same in slots of servers that are not crowded.
-double slot_table::paced_share(const backend_slots& server) const {
-    return working_share(server) * server.part() *
-           std::exp(-crowding_.log_ratio_at_best(server.configured()));
+// Returns the working slots that this instance can rely on, divided by the
+// slowdown by contention.
+double slot_table::normalized_share(const backend_slots& server) const {
+    return working_slots_of(server) * server.fair_share() *
+           std::exp(-contention_.log_slowdown_at_best(server.configured()));
 }
 
 double slot_table::busy_log_factor() const {
-    return now_total().busy_log_factor;
+    return current_totals().busy_log_factor;
 }
 
 slot_table::estimates slot_table::estimate(time_point now) const {
-    double usual_share = 0;
-    for (const slowness_process::level& level : pace_.levels()) {
-        usual_share +=
-            level.log_slowness <= std::log(prompt_slowness) ? level.share : 0;
+    double normal_speed_share = 0;
+    for (const slowness_model::level& level : slowness_model_.levels()) {
+        normal_speed_share +=
+            level.log_slowness <= std::log(max_normal_slowness) ? level.share
+                                                                : 0;
     }
-    estimates made;
-    made.at = now;
+    estimates result;
+    result.at = now;
     for (const index place : usable_) {
         const backend_slots& server = servers_[place];
-        const double holds = word_holds(server, now);
-        const bool told =
-            server.seen() && server.seen()->load.slowness <= prompt_slowness;
-        const double prompt =
-            holds * (told ? 1.0 : 0.0) + (1.0 - holds) * usual_share;
-        const double share = paced_share(server);
-        made.prompt += prompt * share;
-        made.paced += share / expected_slowness(server, holds);
+        const double report_valid = report_validity(server, now);
+        const bool reported_normal =
+            server.last_load() &&
+            server.last_load()->load.slowness <= max_normal_slowness;
+        const double normal_speed =
+            report_valid * (reported_normal ? 1.0 : 0.0) +
+            (1.0 - report_valid) * normal_speed_share;
+        const double share = normalized_share(server);
+        result.normal_speed += normal_speed * share;
+        result.normalized += share / expected_slowness(server, report_valid);
     }
-    return made;
+    return result;
 }
 
 const slot_table::estimates& slot_table::estimates_at(time_point now) const {
@@ -417,11 +444,11 @@
 }
 
 double slot_table::prompt_slots(time_point now) const {
-    return estimates_at(now).prompt;
+    return estimates_at(now).normal_speed;
 }
 
 double slot_table::paced_slots(time_point now) const {
-    return estimates_at(now).paced;
+    return estimates_at(now).normalized;
 }
 
 } // namespace waxwingvale::decision
--- a/src/decision/slot_table.cpp
+++ b/src/decision/slot_table.cpp
@@ -8,38 +8,41 @@
 
 namespace {
 
-// A server's pace at the start of an attempt must have been known with this
-// probability, or its service time would teach the wrong thing.
-constexpr double certain_enough = 0.6;
-// An answer that took many times longer says that there are such, and must not
-// alone make a number of requests look crowded.
-constexpr double farthest_deviation = 1.0;
+// Attempts are learned from only if the server's slowness at their start was
+// known with at least this probability; otherwise the slowness would be taken
+// for contention or for the typical time.
+constexpr double min_report_validity = 0.6;
+// A single answer that took many times longer must not make a number of
+// concurrent requests look slow.
+constexpr double max_log_deviation = 1.0;
 
 bool serves(const member& candidate) {
     return candidate.state == member_state::alive ||
            candidate.state == member_state::suspect;
 }
 
-// Instances that all start at one moment know of no other for a few tenths of a
-// second. A whole service for each of them would be many times its slots, so
-// that each counts on as little as if there were so many: the users have 12 to
-// 18 where they are few.
-constexpr unsigned sharers_not_known = 16;
-
-// How many instances divide the slots of an owner out of reach: the owners
-// that are left, whom the others ask and callers are steered to; without any,
-// all members. 0 when this instance is to ask an owner instead.
-unsigned sharers_of_lost_slots(const view_changed& view,
-                               const std::unordered_set<std::string>& reachable,
-                               const member_id& self) {
+// Number of instances that is assumed while no other instance is known.
+// Instances that all start at the same time do not know each other for a few
+// tenths of a second. If each used all slots, they would exceed the capacity of
+// the service many times. Small deployments have 12 to 18 instances.
+constexpr unsigned assumed_sharers = 16;
+
+// Returns the number of instances that share the slots of an unreachable owner:
+// the remaining owners, which other instances ask and callers are steered to;
+// if there are none, all members. 0 if this instance has to ask an owner
+// instead.
+unsigned
+sharers_of_unreachable_owner(const view_changed& view,
+                             const std::unordered_set<std::string>& reachable,
+                             const member_id& self) {
     if (!view.introduced) {
-        return sharers_not_known;
+        return assumed_sharers;
     }
     unsigned owners = 0;
     bool self_owns = false;
     for (const slot_owner& owner : view.owners.owners) {
         if (owner.slots == 0) {
-            continue; // named as an owner, but no server fell to it
+            continue; // an owner to which no server was assigned
         }
         const bool is_self = owner.member.name == self.name;
         self_owns = self_owns || is_self;
@@ -53,21 +56,22 @@
     return std::max(1U, static_cast<unsigned>(members));
 }
 
-// Of slots that it may use with others, how many this instance may count on: it
-// may use one of each server although there are more instances than slots.
-// Counted whole, each instance took itself to have time for late requests, and
-// servers got twice what they have slots for.
-double fair_part(unsigned slots, unsigned sharers, unsigned share) {
+// Returns the fraction of shared slots that this instance can rely on. It may
+// use at least one slot of each server even if there are more instances than
+// slots. When these slots counted in full, each instance assumed that it had
+// capacity for late requests, and servers received twice as many requests as
+// they have slots.
+double fair_share_of(unsigned slots, unsigned sharers, unsigned share) {
     const double fair = static_cast<double>(slots) / sharers;
     return std::min(1.0, fair / share);
 }
 
-// What is believed of one backend server's latest incarnation.
+// The combined beliefs about the latest incarnation of a backend server.
 struct latest_belief {
     std::uint64_t incarnation = 0;
     bool leaving = false;
-    bool listed_dead = false;    // the platform says so
-    bool suspected_dead = false; // somebody's connections say so
+    bool listed_dead = false;    // according to the platform's list
+    bool suspected_dead = false; // according to connections or probes
 };
 
 void add_belief(latest_belief& latest, const backend_belief& belief) {
@@ -94,16 +98,16 @@
     return latest;
 }
 
-// A server that has started again is not dead or leaving since its former
-// process was.
+// Beliefs about a previous incarnation do not apply to a server that has
+// restarted.
 latest_belief
 belief_of(const backend_slots& server,
           const std::unordered_map<std::string, latest_belief>& latest) {
     const auto found = latest.find(server.name());
-    const bool of_this_start =
+    const bool is_current =
         found != latest.end() &&
         !is_of_former(found->second.incarnation, server.incarnation());
-    return of_this_start ? found->second : latest_belief();
+    return is_current ? found->second : latest_belief();
 }
 
 } // namespace
@@ -123,7 +127,7 @@
 
 void slot_table::apply(const service& of, const view_changed& view,
                        const std::unordered_set<std::string>& reachable) {
-    forget_sums();
+    clear_cached_sums();
     all_changed_ = true;
     configure_servers(of);
     apply_beliefs(view);
@@ -145,7 +149,7 @@
                                  : backend_slots(server.name));
         servers_.back().configure(server);
         if (!known && configured_before_) {
-            servers_.back().start_cold();
+            servers_.back().limit_to_one_slot();
         }
     }
 }
@@ -156,28 +160,29 @@
     for (backend_slots& server : servers_) {
         const latest_belief belief = belief_of(server, latest);
         server.set_incarnation(belief.incarnation);
-        server.set_vetoed(belief.leaving || belief.listed_dead ||
-                          belief.suspected_dead);
-        serving += server.vetoed() ? 0 : 1;
+        server.set_unavailable(belief.leaving || belief.listed_dead ||
+                               belief.suspected_dead);
+        serving += server.unavailable() ? 0 : 1;
     }
     if (serving > 0) {
         return;
     }
-    // Every server looks dead to connections of ours or of a peer: more
-    // likely the network near the observer is broken. Shutting all of them
-    // out would turn that suspicion into an outage.
+    // All servers are suspected dead because of connections of this instance or
+    // a peer. More likely the network near the observer is broken, and
+    // excluding all servers would turn the suspicion into an outage.
     for (backend_slots& server : servers_) {
         const latest_belief belief = belief_of(server, latest);
-        server.set_vetoed(belief.leaving || belief.listed_dead);
+        server.set_unavailable(belief.leaving || belief.listed_dead);
     }
 }
 
-// This instance's part of the requests that a cold server bears. While owners
-// change, two may each take themselves for the one; and a new one does not know
-// what the former sent in the last second. So an owner uses half, and those
-// that share what no owner hands out divide the other.
-std::optional<unsigned> slot_table::cold_part(bool owned,
-                                              unsigned sharers) const {
+// Returns the part of a cold server's request limit that this instance may use.
+// While ownership changes, two instances may both consider themselves the
+// owner, and a new owner does not know what the previous one sent in the last
+// second. Therefore an owner uses half of the limit, and the instances that
+// share the slots of an unreachable owner divide the other half.
+std::optional<unsigned> slot_table::cold_request_limit(bool owned,
+                                                       unsigned sharers) const {
     if (!cold_requests_) {
         return std::nullopt;
     }
@@ -187,7 +192,8 @@
 void slot_table::apply_ownership(
     const view_changed& view,
     const std::unordered_set<std::string>& reachable) {
-    const unsigned sharers = sharers_of_lost_slots(view, reachable, self_);
+    const unsigned sharers =
+        sharers_of_unreachable_owner(view, reachable, self_);
     for (const member& known : view.members) {
         if (known.id == self_) {
             self_data_centre_ = known.data_centre;
@@ -202,25 +208,27 @@
         const unsigned slots = server.configured();
         const unsigned share = sharers == 0 ? 0 : std::max(1U, slots / sharers);
         unsigned allowance = share;
-        double part = share == 0 ? 0 : fair_part(slots, sharers, share);
+        double fair_share =
+            share == 0 ? 0 : fair_share_of(slots, sharers, share);
         if (owner != nullptr && owner->member.name == self_.name) {
             allowance = slots;
-            part = 1;
+            fair_share = 1;
             owned_[place] = true;
             owns_any_ = true;
         } else if (owner != nullptr &&
                    reachable.count(owner->member.name) != 0) {
             allowance = 0;
         }
-        server.set_allowance(allowance, part);
-        server.cold().set_most(cold_part(owned_[place], sharers));
+        server.set_allowance(allowance, fair_share);
+        server.cold().set_limit(cold_request_limit(owned_[place], sharers));
         if (allowance > 0) {
             usable_.push_back(place);
         }
     }
-    // Views may come more often than requests: begun anew with each, the turns
-    // would never reach the servers further on.
-    turn_ = usable_.empty() ? 0 : turn_ % usable_.size();
+    // The rotation continues across views. Views may be more frequent than
+    // requests; if each restarted the rotation, it would never reach the
+    // servers at the end of the list.
+    next_start_ = usable_.empty() ? 0 : next_start_ % usable_.size();
 }
 
 std::optional<slot_table::index>
@@ -235,25 +243,25 @@
 bool slot_table::any_left(const request_needs& request) const {
     return std::any_of(
         servers_.begin(), servers_.end(), [&](const backend_slots& server) {
-            return !server.vetoed() && may_run_on(request, server);
+            return !server.unavailable() && may_run_on(request, server);
         });
 }
 
 bool slot_table::may_start(index place) const {
-    return !servers_[place].vetoed();
+    return !servers_[place].unavailable();
 }
 
 attempt_ref slot_table::start(index place, time_point now, bool isolated) {
     backend_slots& server = servers_[place];
-    if (server.health().watched() && server.health().sample_due(now)) {
-        server.health().sample_taken(now, policy_);
+    if (server.health().needs_sampling() && server.health().sample_due(now)) {
+        server.health().sample_started(now, policy_);
     }
     server.start(++last_attempt_, now, isolated);
-    turn_ = turn_ + 1 < usable_.size() ? turn_ + 1 : 0;
+    next_start_ = next_start_ + 1 < usable_.size() ? next_start_ + 1 : 0;
     return last_attempt_;
 }
 
-void slot_table::note_change(index place) {
+void slot_table::mark_changed(index place) {
     totals_.reset();
     const bool noted =
         std::find(changed_.begin(), changed_.end(), place) != changed_.end();
@@ -270,159 +278,168 @@
     return changed;
 }
 
-// What servers tell of one pace counts for how paces change only when little
-// time lies between.
-void slot_table::see(backend_slots& server, const backend_load& load,
-                     time_point now) {
-    if (server.seen()) {
-        pace_.see(server.seen()->load.slowness, load.slowness,
-                  now - server.seen()->at);
+// Records a load report of the server, and the change of its slowness since the
+// previous report. The model ignores changes between reports that are too far
+// apart.
+void slot_table::record_load(backend_slots& server, const backend_load& load,
+                             time_point now) {
+    if (server.last_load()) {
+        slowness_model_.observe(server.last_load()->load.slowness,
+                                load.slowness, now - server.last_load()->at);
     }
-    server.see(load, now);
+    server.record_load(load, now);
 }
 
-// Requests that others run there, as after a restart of all instances, when
-// several take themselves for a server's owner. Were its answers taken for
-// those of a server that runs as few requests as ours, crowded ones would
-// become the usual, and all servers be filled.
-unsigned slot_table::of_others(const backend_slots& server,
-                               const std::optional<backend_load>& load) {
+// Returns the number of requests that other instances run on the server. There
+// are such requests after a restart of all instances, when several consider
+// themselves the owner of a server. If they were ignored, response times under
+// contention would be learned as the baseline, and all servers would be filled.
+unsigned slot_table::others_running(const backend_slots& server,
+                                    const std::optional<backend_load>& load) {
     const unsigned ours = server.in_flight();
     return load && load->running > ours ? load->running - ours : 0;
 }
 
-// Whether a server's work goes by what runs when it begins, or by what runs all
-// along, differs between servers. Only work that began and ended beside as many
-// says how long it takes beside so many. On the users' servers it is the
-// beginning: 97 ms beside one other (median of 5,531), 160 beside two, however
-// many ran at the end. Counted by the larger number, every fifth that began
-// beside two looked quick, and all servers were filled to the brim again and
-// again, for four seconds at a time.
+// Assigns the attempt to the number of requests that ran when it started.
+// Servers differ in whether the service time depends on the concurrency at the
+// start or throughout; only requests with equal concurrency at the start and at
+// the end show the effect in both cases. On the backend servers of existing
+// deployments the start matters: 97 ms beside one other request (median of
+// 5,531), 160 ms beside two, whatever the number at the end. When the larger of
+// both numbers was used, every fifth request that started beside two others
+// looked fast, and all servers were repeatedly filled for four seconds at a
+// time.
 ended_attempt slot_table::finish(index place, attempt_ref attempt,
                                  attempt_verdict verdict,
                                  const std::optional<backend_load>& load,
                                  time_point now) {
-    note_change(place);
+    mark_changed(place);
     backend_slots& server = servers_[place];
-    const unsigned others = of_others(server, load);
-    const auto begun = server.finish(attempt, verdict, load, now, policy_);
+    const unsigned others = others_running(server, load);
+    const auto started = server.finish(attempt, verdict, load, now, policy_);
     ended_attempt ended;
     ended.certain = false;
-    if (attempt != 0 && !begun) {
+    if (attempt != 0 && !started) {
         ended.of_former = true;
         return ended;
     }
     if (verdict == attempt_verdict::answered ||
         verdict == attempt_verdict::failed || load) {
-        server.set_silent(false);
+        server.set_unresponsive(false);
     }
-    if (begun) {
+    if (started) {
         const unsigned slots = server.configured();
-        ended.running = std::min(begun->running + others, slots);
-        ended.roomy = crowding_profile::is_roomy(ended.running, slots);
+        ended.running = std::min(started->running + others, slots);
+        ended.roomy =
+            contention_profile::is_lightly_loaded(ended.running, slots);
         ended.fairly_roomy =
-            crowding_profile::is_fairly_roomy(ended.running, slots);
-        ended.crowding_log = crowding_.log_ratio(ended.running, slots);
+            contention_profile::is_moderately_loaded(ended.running, slots);
+        ended.contention_log = contention_.log_slowdown(ended.running, slots);
         const double slowness =
-            begun->told_before || !load ? begun->slowness : load->slowness;
-        ended.log_factor = ended.crowding_log + std::log(slowness);
-        ended.certain = !begun->told_before ||
-                        pace_.holds(*begun->told_before) > certain_enough;
+            started->report_age || !load ? started->slowness : load->slowness;
+        ended.log_factor = ended.contention_log + std::log(slowness);
+        ended.certain = !started->report_age ||
+                        slowness_model_.probability_unchanged(
+                            *started->report_age) > min_report_validity;
     }
     if (load) {
-        see(server, *load, now);
+        record_load(server, *load, now);
     }
     return ended;
 }
 
 void slot_table::learn(index place, const ended_attempt& ended,
-                       attempt_verdict verdict, double relative_log,
+                       attempt_verdict verdict, double log_ratio,
                        time_point now) {
-    note_change(place);
+    mark_changed(place);
     backend_slots& server = servers_[place];
-    const bool telling = verdict == attempt_verdict::answered &&
-                         ended.certain && !server.health().slow();
-    if (telling && ended.comparable) {
-        crowding_.add(ended.running, server.configured(),
-                      std::clamp(relative_log + ended.crowding_log,
-                                 -farthest_deviation, farthest_deviation));
+    const bool informative = verdict == attempt_verdict::answered &&
+                             ended.certain && !server.health().slow();
+    if (informative && ended.comparable) {
+        contention_.add(ended.running, server.configured(),
+                        std::clamp(log_ratio + ended.contention_log,
+                                   -max_log_deviation, max_log_deviation));
     }
-    server.health().add(verdict, relative_log, now, policy_);
+    server.health().add(verdict, log_ratio, now, policy_);
 }
 
 void slot_table::release(index place, attempt_ref attempt, time_point now) {
-    note_change(place);
+    mark_changed(place);
     servers_[place].finish(attempt, attempt_verdict::cancelled, std::nullopt,
                            now, policy_);
 }
 
 void slot_table::probed(index place, const probe_ended& probe, time_point now) {
-    note_change(place);
+    mark_changed(place);
     backend_slots& server = servers_[place];
-    // One that tells its load answers probes at once; others may let them wait
-    // for a slot.
-    server.set_silent(!probe.answered && server.seen());
+    // Servers that report their load answer probes at once. Other servers may
+    // queue a probe until a slot is free, so that silence proves nothing.
+    server.set_unresponsive(!probe.answered && server.last_load());
     if (probe.load) {
-        see(server, *probe.load, now);
+        record_load(server, *probe.load, now);
     }
     if (probe.cold_for) {
         server.cold().set_cold_until(now + *probe.cold_for);
     }
 }
 
-// Free slots that just told that they are not slowed down, and slots in use, in
-// one data centre.
-struct slot_table::known_slots {
-    unsigned prompt = 0;
+// Slots of one data centre: free ones on servers that recently reported normal
+// speed, and slots in use.
+struct slot_table::slot_counts {
+    unsigned normal_speed = 0;
     unsigned busy = 0;
 
-    // Enough for what comes until more is heard: each answer brings word of
-    // its server, so that the more runs the less has to be asked.
-    bool enough() const {
-        constexpr unsigned least = 4;
-        return prompt >= std::max(least, busy / 2);
+    // Whether there are enough slots for the requests until the next reports.
+    // Each answer contains a load report, so that fewer probes are needed the
+    // more requests run.
+    bool is_sufficient() const {
+        constexpr unsigned minimum = 4;
+        return normal_speed >= std::max(minimum, busy / 2);
     }
 };
 
-std::map<std::string, slot_table::known_slots>
-slot_table::known_by_centre(time_point now) const {
-    std::map<std::string, known_slots> known;
+std::map<std::string, slot_table::slot_counts>
+slot_table::counts_by_data_centre(time_point now) const {
+    std::map<std::string, slot_counts> known;
     for (const index place : usable_) {
         const backend_slots& server = servers_[place];
-        known_slots& here = known[server.data_centre()];
+        slot_counts& here = known[server.data_centre()];
         here.busy += server.in_flight();
-        const bool told =
-            server.seen() && now - server.seen()->at < policy_.idle_probe_after;
-        if (told && server.seen()->load.slowness <= prompt_slowness) {
-            here.prompt += room(server, now);
+        const bool has_recent_report =
+            server.last_load() &&
+            now - server.last_load()->at < policy_.idle_probe_after;
+        if (has_recent_report &&
+            server.last_load()->load.slowness <= max_normal_slowness) {
+            here.normal_speed += usable_slots(server, now);
         }
     }
     return known;
 }
 
 std::vector<std::string> slot_table::unheard(time_point now) const {
-    const auto known = known_by_centre(now);
+    const auto known = counts_by_data_centre(now);
     std::vector<std::string> names;
     for (const index place : usable_) {
         const backend_slots& server = servers_[place];
-        const duration wait = probe_after(server);
-        const bool heard = server.seen() && now - server.seen()->at < wait;
-        const bool worth_it =
-            !pace_.known() || !known.at(server.data_centre()).enough();
-        if (server.limit() > 0 && !heard && worth_it) {
+        const duration max_age = max_report_age(server);
+        const bool is_recent =
+            server.last_load() && now - server.last_load()->at < max_age;
+        const bool is_needed = !slowness_model_.has_enough_data() ||
+                               !known.at(server.data_centre()).is_sufficient();
+        if (server.limit() > 0 && !is_recent && is_needed) {
             names.push_back(server.name());
         }
     }
     return names;
 }
 
-// How old word of that server may become.
-duration slot_table::probe_after(const backend_slots& server) const {
-    if (!pace_.known()) {
+// Returns the age at which a load report of the server is refreshed by a probe.
+duration slot_table::max_report_age(const backend_slots& server) const {
+    if (!slowness_model_.has_enough_data()) {
         return policy_.learning_probe_after;
     }
-    const bool slowed =
-        server.seen() && server.seen()->load.slowness > prompt_slowness;
+    const bool slowed = server.last_load() &&
+                        server.last_load()->load.slowness > max_normal_slowness;
     return slowed ? policy_.slowed_probe_after : policy_.idle_probe_after;
 }
 
@@ -439,10 +456,10 @@
             continue;
         }
         consider(server.paused_until());
-        if (const auto room = server.cold().next_room(now)) {
-            consider(*room);
+        if (const auto available = server.cold().next_available(now)) {
+            consider(*available);
         }
-        if (server.health().watched()) {
+        if (server.health().needs_sampling()) {
             consider(server.health().next_sample());
         }
     }
--- a/src/decision/slot_table.hpp
+++ b/src/decision/slot_table.hpp
@@ -9,63 +9,65 @@
 #include <vector>
 
 #include "decision/backend_slots.hpp"
-#include "decision/crowding_profile.hpp"
-#include "decision/slowness_process.hpp"
+#include "decision/contention_profile.hpp"
+#include "decision/slowness_model.hpp"
 #include "decision/work_forecast.hpp"
 
 namespace waxwingvale::decision {
 
-// What kind of slot a request can use.
+// The requirements of a request on a slot.
 struct slot_wish {
-    const request_needs* request = nullptr; // null: may run anywhere
+    const request_needs* request = nullptr; // null: any server
     bool isolated = false;
-    bool may_sample = false; // it does no harm if it is slow or fails
-    bool patient = false;    // other owners may yet lend it a better slot
-    bool lent = false;       // to a peer: of the slots owned here only
-    duration typical{};      // usual service time of the request's class
-    duration backlog{};      // until the queue is worked off
+    bool may_sample = false; // may be a sample of a slow or failing server
+    bool patient = false;    // may still get a better slot from other owners
+    bool lent = false;       // for a peer: only slots that are owned here
+    duration typical{};      // typical service time of the request's class
+    duration backlog{};      // time to serve the queue
     std::string data_centre; // of the instance that runs it
-    // What an answer from another data centre costs, in parts of its worth.
+    // Loss by an answer from another data centre, as a fraction of its value.
     double crossing_loss = 0;
-    // Set for a request whose answer is worth most within a time, together
-    // with how much of that worth it may lose rather than wait on.
+    // Set for a request whose answer has its full value only within a target
+    // time. tolerated_loss is the fraction of the value that it may lose; it
+    // waits for a better slot rather than lose more.
     std::optional<work_forecast> forecast;
     double tolerated_loss = 0;
 };
 
-// Whether the server is one that the request may ever run on.
+// Whether the request's exclusions and data centres permit the server.
 bool may_run_on(const request_needs& request, const backend_slots& server);
 
-// What was expected of an attempt that ended.
+// What had been expected of an attempt that has ended.
 struct ended_attempt {
-    unsigned running = 1;     // requests on that server when it began
-    bool roomy = true;        // so few that they did not slow it down
-    bool fairly_roomy = true; // or so few that they probably did not
-    double crowding_log = 0;  // part of log_factor that is due to them
-    // By how much its work was expected to take longer than usual, as a
-    // logarithm, and whether that was known well enough to learn from.
+    unsigned running = 1;      // requests on its server when it started
+    bool roomy = true;         // so few that they did not slow each other down
+    bool fairly_roomy = true;  // so few that they probably did not
+    double contention_log = 0; // part of log_factor caused by contention
+    // Logarithm of the factor by which its work was expected to take longer
+    // than typical, and whether that was known well enough to learn from its
+    // time.
     double log_factor = 0;
     bool certain = true;
-    // Whether the usual time of its class is known, of servers that are not
-    // crowded.
+    // Whether the typical time of its class on servers without contention is
+    // known.
     bool comparable = true;
-    // It ran on a process that another one has followed under the same name.
+    // Whether it ran on a previous incarnation of its server.
     bool of_former = false;
 };
 
-// A pace up to this counts as not slowed down; the usual one varies a little.
-inline constexpr double prompt_slowness = 1.5;
+// Slowness up to this counts as normal speed, which varies a little.
+inline constexpr double max_normal_slowness = 1.5;
 
-// All backend servers of one service as this instance may use them: servers
-// that it owns with all their slots, servers of an owner out of reach with a
-// share, others not at all.
+// The backend servers of one service and the slots that this instance may use:
+// all slots of servers that it owns, a share of the slots of servers whose
+// owner is unreachable, and none of other servers.
 class slot_table {
 public:
     using index = std::size_t;
 
     slot_table(member_id self, const scheduling_policy& policy);
 
-    // The view's owners are to be those that act, see with_standbys().
+    // The owners in the view must be the result of with_standbys().
     void apply(const service& of, const view_changed& view,
                const std::unordered_set<std::string>& reachable);
 
@@ -73,146 +75,157 @@
     const backend_slots& at(index place) const { return servers_[place]; }
     const std::vector<backend_slots>& all() const { return servers_; }
     bool owned(index place) const { return owned_[place]; }
-    // Whether slots are owned here, or at least a share of them may be used.
+    // Whether this instance owns any server.
     bool owns_any() const { return owns_any_; }
+    // Whether it may use any slots, of its own or as a share.
     bool has_slots() const { return !usable_.empty(); }
-    const slowness_process& pace() const { return pace_; }
+    const slowness_model& pace() const { return slowness_model_; }
 
-    // The best free slot, or none; of all servers that may be used, or of
-    // those.
+    // Returns the server with the best free slot, if any, of all usable servers
+    // or of those in `among`.
     std::optional<index> choose(const slot_wish& wish, time_point now) const;
     std::optional<index> choose(const slot_wish& wish, time_point now,
                                 const std::vector<index>& among) const;
-    // The servers that may suit what they did not suit before, because a
-    // request ended there or they were heard of, since this was last asked.
-    // None: all may, since the table was applied anew.
+    // Returns the servers that changed since the last call, because an attempt
+    // ended there or a load report arrived: they may now suit requests that
+    // they did not suit before. Returns nothing if any server may have changed,
+    // because apply() was called.
     std::optional<std::vector<index>> take_changed();
-    // Whether some server could ever take that request.
+    // Whether any available server is permitted for the request.
     bool any_left(const request_needs& request) const;
-    // Whether that server may get a granted request.
+    // Whether a request with a grant may be started on the server.
     bool may_start(index place) const;
 
-    // By how much work that begins there now is expected to take longer than
-    // usual, as a logarithm.
+    // Logarithm of the factor by which work that starts there now is expected
+    // to take longer than typical.
     double expected_log_factor(index place) const;
 
-    // Takes a slot; the attempt is named to finish() or release().
+    // Occupies a slot until finish() or release() is called with the returned
+    // attempt.
     attempt_ref start(index place, time_point now, bool isolated);
-    // An attempt that was started there, or on a peer's slot there, which has
-    // the number 0, ended.
+    // Records the end of an attempt on the server. The attempt is 0 if it used
+    // a slot that a peer granted.
     ended_attempt finish(index place, attempt_ref attempt,
                          attempt_verdict verdict,
                          const std::optional<backend_load>& load,
                          time_point now);
-    // What its service time showed; relative_log compares it with what was
-    // expected there.
+    // Learns from the service time of an ended attempt; log_ratio is the
+    // logarithm of its service time divided by the expected time.
     void learn(index place, const ended_attempt& ended, attempt_verdict verdict,
-               double relative_log, time_point now);
-    // A slot was given back without an attempt.
+               double log_ratio, time_point now);
+    // Frees a slot on which no request was started.
     void release(index place, attempt_ref attempt, time_point now);
-    // A probe of that server ended.
+    // Records the result of a probe of the server.
     void probed(index place, const probe_ended& probe, time_point now);
 
-    // Slots that serve at the usual pace, as far as failures and answers tell,
-    // and free ones among them.
+    // Usable slots of servers that neither fail nor are stragglers, and usable
+    // slots in use.
     unsigned working_slots() const;
     unsigned busy_slots() const;
-    // The same, of slots that others use too a fair part only.
+    // Like working_slots(), but slots that other instances use, too, are
+    // counted by the fair share of this instance.
     double counted_slots() const;
+    // Free slots among the working ones.
     unsigned idle_slots(time_point now) const;
     bool any_idle(time_point now) const;
-    // Whether one of those, or of all, has a free slot, whatever it is worth.
+    // Whether any server in `among`, or any usable server, has a free slot,
+    // working or not.
     bool any_room(const std::optional<std::vector<index>>& among,
                   time_point now) const;
-    // Of those, the share whose servers are believed not to be slowed down
-    // now; and all of them, each counted by the pace it works at. Both are in
-    // slots that work at the usual pace.
+    // Capacity of the working slots, in slots that work at normal speed:
+    // prompt_slots() counts slots that are expected to work at normal speed
+    // now; paced_slots() counts all slots, divided by their expected slowness.
     double prompt_slots(time_point now) const;
     double paced_slots(time_point now) const;
-    // By how much work takes longer than usual while there is enough of it to
-    // keep all servers at the number that does the most, as a logarithm.
+    // Logarithm of the slowdown by contention when all servers run the number
+    // of requests with the highest throughput; of the most affected server.
     double busy_log_factor() const;
-    // Servers of which nothing was heard for so long that a probe is worth its
-    // while.
+    // Servers whose last load report is so old that a probe is worthwhile.
     std::vector<std::string> unheard(time_point now) const;
-    // The next moment at which a pause or a sample makes a slot free.
+    // When the next slot becomes available because a pause or the limit of a
+    // cold server ends or a sample is due.
     std::optional<time_point> next_change(time_point now) const;
 
 private:
-    static unsigned of_others(const backend_slots& server,
-                              const std::optional<backend_load>& load);
+    static unsigned others_running(const backend_slots& server,
+                                   const std::optional<backend_load>& load);
     void apply_beliefs(const view_changed& view);
     void apply_ownership(const view_changed& view,
                          const std::unordered_set<std::string>& reachable);
-    std::optional<unsigned> cold_part(bool owned, unsigned sharers) const;
+    std::optional<unsigned> cold_request_limit(bool owned,
+                                               unsigned sharers) const;
     void configure_servers(const service& of);
-    bool sampled(const backend_slots& server, const slot_wish& wish,
-                 time_point now) const;
+    bool sample_is_due(const backend_slots& server, const slot_wish& wish,
+                       time_point now) const;
     bool admits(const backend_slots& server, const slot_wish& wish,
                 time_point now) const;
-    class timeliness;
-    double cost(index place, const slot_wish& wish, timeliness* answers,
-                time_point now) const;
+    class in_time_estimator;
+    double cost(index place, const slot_wish& wish,
+                in_time_estimator* estimator, time_point now) const;
     double time_cost(index place, const slot_wish& wish) const;
-    double loss(const backend_slots& server, const slot_wish& wish,
-                double chance, double holds) const;
-    double chance(const backend_slots& server, double holds,
-                  timeliness& answers) const;
-    double word_holds(const backend_slots& server, time_point now) const;
-    double expected_slowness(const backend_slots& server, double holds) const;
-    double crowding_log(const backend_slots& server) const;
-    struct known_slots;
-    std::map<std::string, known_slots> known_by_centre(time_point now) const;
-    duration probe_after(const backend_slots& server) const;
-    void see(backend_slots& server, const backend_load& load, time_point now);
+    double expected_loss(const backend_slots& server, const slot_wish& wish,
+                         double in_time, double report_valid) const;
+    double in_time_probability(const backend_slots& server, double report_valid,
+                               in_time_estimator& estimator) const;
+    double report_validity(const backend_slots& server, time_point now) const;
+    double expected_slowness(const backend_slots& server,
+                             double report_valid) const;
+    double contention_log(const backend_slots& server) const;
+    struct slot_counts;
+    std::map<std::string, slot_counts>
+    counts_by_data_centre(time_point now) const;
+    duration max_report_age(const backend_slots& server) const;
+    void record_load(backend_slots& server, const backend_load& load,
+                     time_point now);
     std::optional<index> choose_from(const slot_wish& wish, time_point now,
                                      const std::vector<index>& among,
                                      std::size_t first) const;
-    bool any_near(const std::string& data_centre) const;
-    unsigned room(const backend_slots& server, time_point now) const;
-    unsigned working_share(const backend_slots& server) const;
-    double paced_share(const backend_slots& server) const;
-    bool only_passed_over() const;
-    bool shuts_out_failing() const;
-
-    // Over all servers that may be used.
+    bool any_working_in(const std::string& data_centre) const;
+    unsigned usable_slots(const backend_slots& server, time_point now) const;
+    unsigned working_slots_of(const backend_slots& server) const;
+    double normalized_share(const backend_slots& server) const;
+    bool none_working() const;
+    bool excludes_failing() const;
+
+    // Sums over all usable servers.
     struct totals {
         unsigned working = 0;
-        double counted = 0;
+        double weighted = 0;
         double busy_log_factor = 0;
     };
     struct estimates {
         time_point at{};
-        double prompt = 0;
-        double paced = 0;
+        double normal_speed = 0;
+        double normalized = 0;
     };
-    const totals& now_total() const;
+    const totals& current_totals() const;
     estimates estimate(time_point now) const;
     const estimates& estimates_at(time_point now) const;
-    void forget_sums() {
+    void clear_cached_sums() {
         totals_.reset();
         estimates_.reset();
     }
-    // What is in flight there or known of the server is another than before.
-    void note_change(index place);
+    // Records that the attempts in flight or the state of the server have
+    // changed.
+    void mark_changed(index place);
 
     member_id self_;
     std::string self_data_centre_;
     scheduling_policy policy_;
     bool configured_before_ = false;
-    std::optional<unsigned> cold_requests_; // of the service
+    std::optional<unsigned> cold_requests_; // limit of the service
     std::vector<backend_slots> servers_;
     std::vector<bool> owned_;
     bool owns_any_ = false;
-    slowness_process pace_;
-    crowding_profile crowding_;
+    slowness_model slowness_model_;
+    contention_profile contention_;
     attempt_ref last_attempt_ = 0;
-    std::vector<index> usable_; // servers with an allowance
-    std::size_t turn_ = 0;      // where among them the next choice begins
+    std::vector<index> usable_;  // servers with an allowance above 0
+    std::size_t next_start_ = 0; // position in usable_ at which choose() starts
     std::unordered_map<std::string, index> by_name_;
     bool all_changed_ = true;
-    std::vector<index> changed_;           // each once
-    mutable std::optional<totals> totals_; // none: to be added up
+    std::vector<index> changed_;           // without duplicates
+    mutable std::optional<totals> totals_; // cache
     mutable std::optional<estimates> estimates_;
 };
 
--- a/src/decision/steering.cpp
+++ b/src/decision/steering.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <tuple>
 
-#include "decision/machine_strength.hpp"
+#include "decision/fleet_capacity.hpp"
 #include <waxwingvale/decision/stable_hash.hpp>
 
 namespace waxwingvale::decision {
@@ -12,22 +12,23 @@
 
 struct candidate_address {
     steering_address address;
-    bool suspect = false; // silent for a while: a fallback only
+    bool suspect = false; // not heard from for a while: only a fallback
     bool owner = false;
-    bool near = false; // in the caller's data centre
+    bool is_local = false; // in the caller's data centre
     double score = 0;
 };
 
-// Weight of an instance that owns no slots when such instances are compared.
+// Rendezvous weight of an instance without slots.
 constexpr double fallback_weight = 1.0;
 
-bool better(const candidate_address& a, const candidate_address& b) {
-    // Among owners the slots decide, so that callers divide as slots do;
-    // nearness only orders instances that have no slots of their own.
-    const bool a_near = a.near && !a.owner;
-    const bool b_near = b.near && !b.owner;
-    return std::make_tuple(!a.suspect, a.owner, a_near, a.score) >
-           std::make_tuple(!b.suspect, b.owner, b_near, b.score);
+bool is_preferred(const candidate_address& a, const candidate_address& b) {
+    // Owners are ordered by score only, so that callers are distributed in
+    // proportion to the slots. The data centre matters only for instances
+    // without slots.
+    const bool a_local = a.is_local && !a.owner;
+    const bool b_local = b.is_local && !b.owner;
+    return std::make_tuple(!a.suspect, a.owner, a_local, a.score) >
+           std::make_tuple(!b.suspect, b.owner, b_local, b.score);
 }
 
 candidate_address make_candidate(const member& of, const ownership& owners,
@@ -38,20 +39,20 @@
                     owned != nullptr ? owned->slots : 0};
     made.suspect = of.state == member_state::suspect;
     made.owner = made.address.weight > 0;
-    made.near = of.data_centre == caller.data_centre;
+    made.is_local = of.data_centre == caller.data_centre;
     const double weight =
         made.owner ? static_cast<double>(owned->slots) : fallback_weight;
     made.score = rendezvous_score(stable_hash(of.id.name, caller.hash), weight);
     return made;
 }
 
-duration keep_time(const configuration& config, const steering_caller& caller) {
+duration ttl_for(const configuration& config, const steering_caller& caller) {
     const duration span = config.address_keep_max - config.address_keep_min;
     if (span <= duration::zero()) {
         return config.address_keep_min;
     }
     const double fraction =
-        unit_interval(combine_hashes(caller.hash, caller.window));
+        unit_interval(combine_hashes(caller.hash, caller.request_number));
     return config.address_keep_min +
            duration(static_cast<duration::rep>(
                fraction * static_cast<double>(span.count())));
@@ -65,7 +66,7 @@
 }
 
 bool operator==(const steering_answer& a, const steering_answer& b) {
-    return std::tie(a.addresses, a.keep) == std::tie(b.addresses, b.keep);
+    return std::tie(a.addresses, a.ttl) == std::tie(b.addresses, b.ttl);
 }
 
 steering_answer steer_caller(const configuration& config,
@@ -79,7 +80,7 @@
             candidates.push_back(make_candidate(candidate, owners, caller));
         }
     }
-    std::sort(candidates.begin(), candidates.end(), better);
+    std::sort(candidates.begin(), candidates.end(), is_preferred);
     steering_answer answer;
     for (const candidate_address& candidate : candidates) {
         if (answer.addresses.size() == addresses_per_answer) {
@@ -87,7 +88,7 @@
         }
         answer.addresses.push_back(candidate.address);
     }
-    answer.keep = keep_time(config, caller);
+    answer.ttl = ttl_for(config, caller);
     return answer;
 }
 
@@ -101,57 +102,57 @@
     return found == data_centres.end() ? std::string() : found->region;
 }
 
-// Weak machines are left to those who cannot reach a better one.
-std::vector<member> without_weak(const std::vector<member>& all) {
-    const machine_strength strength(all);
-    std::vector<member> strong;
+// Leaves out low-capacity machines, unless there are no others.
+std::vector<member> without_low_capacity(const std::vector<member>& all) {
+    const fleet_capacity capacity(all);
+    std::vector<member> high_capacity;
     for (const auto& each : all) {
-        if (strength.is_strong(each)) {
-            strong.push_back(each);
+        if (capacity.has_high_capacity(each)) {
+            high_capacity.push_back(each);
         }
     }
-    return strong.empty() ? all : strong;
+    return high_capacity.empty() ? all : high_capacity;
 }
 
 } // namespace
 
-std::vector<member>
-nearby_instances(const std::vector<member>& members,
-                 const std::vector<data_centre>& data_centres,
-                 const steering_caller& caller,
-                 const std::vector<std::string>& homes, std::size_t most) {
+std::vector<member> nearby_instances(
+    const std::vector<member>& members,
+    const std::vector<data_centre>& data_centres, const steering_caller& caller,
+    const std::vector<std::string>& home_regions, std::size_t max_count) {
     const auto region = region_of(data_centres, caller.data_centre);
-    std::vector<member> here;
+    std::vector<member> in_data_centre;
     std::vector<member> in_region;
     std::vector<member> all;
     for (const auto& each : members) {
         if (each.state != member_state::alive) {
             continue;
         }
-        const auto its_region = region_of(data_centres, each.data_centre);
-        const bool at_home =
-            homes.empty() ||
-            std::find(homes.begin(), homes.end(), its_region) != homes.end();
-        if (at_home) {
+        const auto member_region = region_of(data_centres, each.data_centre);
+        const bool in_home_region =
+            home_regions.empty() ||
+            std::find(home_regions.begin(), home_regions.end(),
+                      member_region) != home_regions.end();
+        if (in_home_region) {
             all.push_back(each);
         }
         if (each.data_centre == caller.data_centre) {
-            here.push_back(each);
+            in_data_centre.push_back(each);
         }
-        if (!region.empty() && its_region == region) {
+        if (!region.empty() && member_region == region) {
             in_region.push_back(each);
         }
     }
-    auto chosen = without_weak(!here.empty()        ? here
-                               : !in_region.empty() ? in_region
-                                                    : all);
+    auto chosen = without_low_capacity(!in_data_centre.empty() ? in_data_centre
+                                       : !in_region.empty()    ? in_region
+                                                               : all);
     std::sort(chosen.begin(), chosen.end(),
               [&](const member& a, const member& b) {
                   return stable_hash(a.id.name, caller.hash) <
                          stable_hash(b.id.name, caller.hash);
               });
-    if (chosen.size() > most) {
-        chosen.resize(most);
+    if (chosen.size() > max_count) {
+        chosen.resize(max_count);
     }
     return chosen;
 }
--- a/src/steer/address_desk.cpp
+++ b/src/steer/address_desk.cpp
@@ -74,7 +74,7 @@
     decision::steering_caller caller;
     caller.hash = decision::stable_hash(caller_of(request));
     caller.data_centre = io::query_value(request.target, "data_centre");
-    caller.window = when.number;
+    caller.request_number = when.number;
     const auto steered = decision::steer_caller(*view->config, owners->second,
                                                 view->members, caller);
     if (steered.addresses.empty()) {
@@ -93,7 +93,7 @@
              {"key_prefix", prefix_for(address.member, when.wall_us)}});
     }
     const auto keep_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
-        std::min(steered.keep, when.keep_at_most.value_or(steered.keep)));
+        std::min(steered.ttl, when.keep_at_most.value_or(steered.ttl)));
     const json answer = {
         {"service", name},
         {"addresses", addresses},
--- a/test/scheduling/cold_test.cpp
+++ b/test/scheduling/cold_test.cpp
@@ -2,7 +2,7 @@
 #include <deque>
 #include <rapidcheck.h>
 
-#include "decision/cold_rate.hpp"
+#include "decision/cold_rate_limiter.hpp"
 #include "scheduler_fixture.hpp"
 
 using namespace std::chrono_literals;
@@ -13,9 +13,10 @@
 
 const time_point start{1h};
 
-// A service that bears so many requests a second to a cold server.
-void bound(scheduler_fixture& f, std::optional<unsigned> cold_requests,
-           time_point cold_until = {}) {
+// Sets the service's request limit per second for a cold server, and until when
+// server "a" is cold.
+void set_cold_limit(scheduler_fixture& f, std::optional<unsigned> cold_requests,
+                    time_point cold_until = {}) {
     configuration changed = *f.view.config;
     auto& of = changed.services[0];
     of.cold_requests = cold_requests;
@@ -24,7 +25,7 @@
     f.apply_view();
 }
 
-probe_ended told(duration cold_for) {
+probe_ended cold_report(duration cold_for) {
     probe_ended ended;
     ended.backend_server = "a";
     ended.answered = true;
@@ -32,8 +33,9 @@
     return ended;
 }
 
-// How many requests a server gets in a second that ends each at once.
-unsigned sent_in_a_second(scheduler_fixture& f, request_id first) {
+// Sends a request every 10 ms for a second to a server that answers at once,
+// and returns how many were started.
+unsigned started_in_a_second(scheduler_fixture& f, request_id first) {
     unsigned sent = 0;
     for (unsigned tick = 0; tick < 100; ++tick) {
         f.arrive(first + tick, 5ms);
@@ -49,20 +51,20 @@
 
 } // namespace
 
-TEST_CASE("a cold server gets no more in any second than it bears") {
-    // Guards against a cold server that crashes because requests to it end
-    // quickly, so that its slots alone do not bound them.
+TEST_CASE("a cold server receives at most its limit in any second") {
+    // Guards against the crash of a cold server: if its requests end quickly,
+    // the number of its slots does not limit their rate.
     CHECK(rc::check([] {
         const auto most = *rc::gen::inRange(0U, 12U);
-        cold_rate rate;
-        rate.set_most(most);
+        cold_rate_limiter rate;
+        rate.set_limit(most);
         rate.set_cold_until(start + 1h);
         time_point now = start;
         std::deque<time_point> sent;
         for (unsigned step = 0; step < 300; ++step) {
             now += std::chrono::milliseconds(*rc::gen::inRange(0, 60));
-            if (rate.room(now).value() > 0) {
-                rate.started(now);
+            if (rate.available(now).value() > 0) {
+                rate.record_start(now);
                 sent.push_back(now);
             }
             while (!sent.empty() && now - sent.front() >= 1s) {
@@ -73,91 +75,94 @@
     }));
 }
 
-TEST_CASE("a cold server has room again when its window has passed") {
-    cold_rate rate;
-    rate.set_most(2);
+TEST_CASE("a cold server accepts requests again after the rate window") {
+    cold_rate_limiter rate;
+    rate.set_limit(2);
     rate.set_cold_until(start + 10s);
-    rate.started(start);
-    rate.started(start + 100ms);
-    CHECK(rate.room(start + 200ms) == 0U);
-    const auto again = rate.next_room(start + 200ms);
+    rate.record_start(start);
+    rate.record_start(start + 100ms);
+    CHECK(rate.available(start + 200ms) == 0U);
+    const auto again = rate.next_available(start + 200ms);
     REQUIRE(again.has_value());
     CHECK(*again > start + 1s);
-    CHECK(rate.room(*again) == 1U);
-    CHECK_FALSE(rate.room(start + 10s).has_value());
+    CHECK(rate.available(*again) == 1U);
+    CHECK_FALSE(rate.available(start + 10s).has_value());
 }
 
-TEST_CASE("word that was told before does not make a warm server cold") {
-    // The registry's entry stays as it was written until the next one, while
-    // the server itself has told that it is warm.
-    cold_rate rate;
-    rate.set_listed_until(start + 5s);
+TEST_CASE("a repeated registry entry does not make a warm server cold") {
+    // The registry entry stays unchanged until it is rewritten, although the
+    // server itself has reported in the meantime that it is warm.
+    cold_rate_limiter rate;
+    rate.set_registered_cold_until(start + 5s);
     CHECK(rate.is_cold(start));
     rate.set_cold_until(start);
-    rate.set_listed_until(start + 5s);
+    rate.set_registered_cold_until(start + 5s);
     CHECK_FALSE(rate.is_cold(start));
-    rate.set_listed_until(start + 9s);
+    rate.set_registered_cold_until(start + 9s);
     CHECK(rate.is_cold(start));
 }
 
-TEST_CASE("an owner sends a cold server half of what it bears") {
-    // Two instances may take themselves for the owner while owners change, and
-    // together must not make it crash.
+TEST_CASE("an owner sends a cold server half of its request limit") {
+    // While ownership changes, two instances may both consider themselves the
+    // owner. Together they must not exceed the limit, or the server crashes.
     scheduler_fixture f(1, 4, 1);
     f.now = start;
-    bound(f, 14, start + 1h);
-    CHECK(sent_in_a_second(f, 1) == 7);
+    set_cold_limit(f, 14, start + 1h);
+    CHECK(started_in_a_second(f, 1) == 7);
 }
 
-TEST_CASE("a server that says that it turned cold is spared from then on") {
-    // Guards against the requests that it gets until the registry tells. What
-    // was sent just before counts.
+TEST_CASE("a server that reports itself cold is limited from then on") {
+    // Guards against a crash by the requests that the server gets until the
+    // registry lists it as cold. Requests sent shortly before the report count
+    // toward the limit.
     scheduler_fixture f(1, 4, 1);
     f.now = start;
-    bound(f, 14);
-    CHECK(sent_in_a_second(f, 1) == 100);
-    f.send(told(3s));
-    CHECK(sent_in_a_second(f, 1001) <= 7);
-    f.send(told(0s));
-    CHECK(sent_in_a_second(f, 2001) == 100);
+    set_cold_limit(f, 14);
+    CHECK(started_in_a_second(f, 1) == 100);
+    f.send(cold_report(3s));
+    CHECK(started_in_a_second(f, 1001) <= 7);
+    f.send(cold_report(0s));
+    CHECK(started_in_a_second(f, 2001) == 100);
 }
 
-TEST_CASE("a view that tells nothing new leaves a server as cold as it is") {
+TEST_CASE("an unchanged view does not override a server's own report") {
     scheduler_fixture f(1, 4, 1);
     f.now = start;
-    bound(f, 14, start + 1h);
-    f.send(told(0s));
+    set_cold_limit(f, 14, start + 1h);
+    f.send(cold_report(0s));
     f.apply_view();
-    CHECK(sent_in_a_second(f, 1) == 100);
+    CHECK(started_in_a_second(f, 1) == 100);
 }
 
-TEST_CASE("a rate of zero keeps a server without requests until it is warm") {
+TEST_CASE("a server with a limit of zero gets no requests while cold") {
     scheduler_fixture f(1, 4, 1);
     f.now = start;
-    bound(f, 0, start + 2s);
-    CHECK(sent_in_a_second(f, 1) == 0);
+    set_cold_limit(f, 0, start + 2s);
+    CHECK(started_in_a_second(f, 1) == 0);
     f.pass(1s);
-    CHECK(sent_in_a_second(f, 1001) == 100);
+    CHECK(started_in_a_second(f, 1001) == 100);
 }
 
-TEST_CASE("without an owner in reach each instance has a share of it") {
-    // All instances lost power and know no owner yet, and a whole data centre
-    // came back cold: what each may send must be safe together.
+TEST_CASE("without a reachable owner instances divide the cold limit") {
+    // All instances have restarted after a power loss and know no owner yet,
+    // and the servers of a whole data centre are cold. The requests of all
+    // instances together must stay within the limit.
     scheduler_fixture f(1, 4, 0);
     f.now = start;
     f.view.owners.owners.clear();
-    bound(f, 14, start + 1h);
-    CHECK(sent_in_a_second(f, 1) == 3); // a half, divided by two instances
+    set_cold_limit(f, 14, start + 1h);
+    CHECK(started_in_a_second(f, 1) ==
+          3); // half of the limit, divided by two instances
     f.view.introduced = false;
-    bound(f, 14, start + 1h);
+    set_cold_limit(f, 14, start + 1h);
     f.pass(2s);
-    CHECK(sent_in_a_second(f, 1001) == 0);
+    CHECK(started_in_a_second(f, 1001) == 0);
 }
 
-TEST_CASE("the server that is not cold takes what a cold one may not") {
+TEST_CASE("requests beyond the cold limit go to the warm server") {
     scheduler_fixture f(2, 4, 2);
     f.now = start;
-    bound(f, 2, start + 1h);
+    set_cold_limit(f, 2, start + 1h);
     unsigned to_cold = 0;
     unsigned refused = 0;
     for (request_id id = 1; id <= 50; ++id) {
--- a/test/scheduling/crowding_test.cpp
+++ b/test/scheduling/contention_test.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include "decision/crowding_profile.hpp"
+#include "decision/contention_profile.hpp"
 #include "scheduler_fixture.hpp"
 #include "waxwing_replay/comparison.hpp"
 
@@ -10,16 +10,17 @@
 
 namespace {
 
-// A server of three slots that makes what begins as the third take 1.7 times as
-// long, as it was measured, kept busy: as one request ends, another begins.
+// A server with three slots on which a request that starts third takes 1.7
+// times as long, as measured on real servers. It is kept busy: whenever a
+// request ends, another one starts.
 class busy_server {
 public:
     explicit busy_server(scheduler_fixture& f) : f_(f) {}
 
-    // Whether three requests ever ran there at once.
-    bool turn(int times) {
+    // Sends requests and returns whether three ever ran at the same time.
+    bool run(int requests) {
         bool full = false;
-        for (int i = 0; i < times; ++i) {
+        for (int i = 0; i < requests; ++i) {
             f_.send(f_.request(next_));
             note_started(next_++);
             full = full || running_.size() == 3;
@@ -58,8 +59,8 @@
         request_finished finished;
         finished.request = ended.id;
         finished.service_time = ended.takes;
-        const auto told = static_cast<unsigned>(running_.size()) + 1;
-        finished.load = backend_load{told, 0, 3, 1.0};
+        const auto reported = static_cast<unsigned>(running_.size()) + 1;
+        finished.load = backend_load{reported, 0, 3, 1.0};
         f_.send(finished);
         note_started(0);
     }
@@ -71,51 +72,54 @@
 
 } // namespace
 
-TEST_CASE("work is compared by how many ran when it began") {
-    // Of three requests on a server of three slots the last takes 1.7 times as
-    // long, however many run when it ends. Counted by that, many of the quick
-    // ones pass for crowded ones: the servers look quick when full, are filled,
-    // and all callers wait longer while less is done.
-    crowding_profile profile;
+TEST_CASE("service times are attributed to the concurrency at the start") {
+    // On a server with three slots, a request that starts third takes 1.7 times
+    // as long, whatever the concurrency at its end. If the concurrency at the
+    // end counted, many fast requests would be attributed to a full server.
+    // Full servers would look fast and be filled, which reduces the throughput
+    // and makes callers wait longer.
+    contention_profile profile;
     for (int i = 0; i < 60; ++i) {
         profile.add(3, 3, 0.53);
     }
-    CHECK(profile.best_count(3) == 2);
+    CHECK(profile.best_concurrency(3) == 2);
     scheduler_fixture f(1, 3, 1);
     busy_server server(f);
-    server.turn(400);
-    CHECK_FALSE(server.turn(400));
+    server.run(400);
+    CHECK_FALSE(server.run(400));
 }
 
-TEST_CASE("what was learned of full servers outlasts minutes without them") {
-    // Once known to be slow, full servers are seen no more. Forgotten after
-    // some thousand answers, every server was filled at once, and for four
-    // seconds each second answer was late.
-    crowding_profile profile;
+TEST_CASE("a known slowdown outlasts minutes without full servers") {
+    // Servers that are slow when full are no longer filled, so that there are
+    // no new observations. When the slowdown was forgotten after some thousand
+    // answers, all servers were filled at once, and for four seconds every
+    // second answer was late.
+    contention_profile profile;
     for (int i = 0; i < 100; ++i) {
         profile.add(3, 3, 0.53);
     }
     for (int i = 0; i < 50000; ++i) {
         profile.add(2, 3, 0.0);
     }
-    CHECK(profile.best_count(3) == 2);
+    CHECK(profile.best_concurrency(3) == 2);
     for (int i = 0; i < 200000; ++i) {
         profile.add(2, 3, 0.0);
     }
-    CHECK(profile.best_count(3) == 3);
+    CHECK(profile.best_concurrency(3) == 3);
 }
 
-TEST_CASE("servers that do not slow down are filled") {
-    crowding_profile profile;
+TEST_CASE("servers without contention are filled") {
+    contention_profile profile;
     for (int i = 0; i < 100; ++i) {
         profile.add(3, 3, i % 2 == 0 ? 0.1 : -0.1);
     }
-    CHECK(profile.best_count(3) == 3);
+    CHECK(profile.best_concurrency(3) == 3);
 }
 
-TEST_CASE("instances that have just started soon know their servers") {
-    // All lost power, and everybody comes back at once: more than the servers
-    // can do. Until it is known that full servers are slow, each is filled.
+TEST_CASE("restarted instances soon learn the slowdown of full servers") {
+    // All instances restart after a power loss, and all callers return at once
+    // and overload the servers. Until instances know that full servers are
+    // slow, they fill each server, and answers are late.
     double in_time = 0;
     constexpr int seeds = 8;
     for (int seed = 1; seed <= seeds; ++seed) {
--- a/test/scheduling/grants_test.cpp
+++ b/test/scheduling/grants_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// An owner of one slot that is taken, with one more request waiting.
+// An owner of one slot, which is in use, with one waiting request.
 scheduler_fixture busy_owner() {
     scheduler_fixture f(2, 1, 1);
     f.link_peer();
@@ -17,12 +17,12 @@
     return f;
 }
 
-// A slot on that server, for that request of ours.
+// A grant by the peer of a slot on the server, for a request of this instance.
 grant_received grant_of(const std::string& server, request_id request) {
     return {"entry-1", 7, request, server, 1s, 0ms};
 }
 
-// A peer's requests with those numbers, each with that time left.
+// An ask of the peer for slots for its requests.
 slots_asked ask_of(std::vector<request_id> requests,
                    duration time_left = duration(100000)) {
     slots_asked ask;
@@ -41,7 +41,7 @@
 
 } // namespace
 
-TEST_CASE("an owner whose slots are taken asks the other owner") {
+TEST_CASE("an owner whose slots are all in use asks the other owner") {
     const scheduler_fixture f = busy_owner();
     REQUIRE(f.all<ask_slots>().size() == 1);
     CHECK(f.all<ask_slots>()[0].peer == "entry-1");
@@ -49,7 +49,7 @@
     CHECK(f.all<ask_slots>()[0].waiting[0].request == 2);
 }
 
-TEST_CASE("a granted slot is used, and given back when the request ends") {
+TEST_CASE("a granted slot is used and returned when the request ends") {
     scheduler_fixture f = busy_owner();
     f.now += 2ms;
     f.send(grant_of("b", 2));
@@ -63,7 +63,7 @@
     CHECK(f.all<return_grant>()[0].use);
 }
 
-TEST_CASE("a grant that nobody needs goes back at once") {
+TEST_CASE("a grant that is no longer needed is returned at once") {
     scheduler_fixture f = busy_owner();
     f.finish(1);
     f.now += 2ms;
@@ -73,10 +73,10 @@
     CHECK(!f.all<return_grant>()[0].use);
 }
 
-TEST_CASE("a grant read after a late wake-up is void") {
-    // The process is stopped while its ask is under way, and reads the grant
-    // a second later. The owner may have given the slot to somebody else
-    // since; started there, the request would be shed.
+TEST_CASE("a grant received after a late wake-up is not used") {
+    // The process is suspended after it has sent an ask, and reads the grant
+    // half a second later. The owner may have granted the slot to another
+    // instance since, so that the backend server would refuse the request.
     scheduler_fixture f = busy_owner();
     f.now += 500ms;
     f.send(grant_of("b", 2));
@@ -85,7 +85,7 @@
     CHECK(!f.all<return_grant>()[0].use);
 }
 
-TEST_CASE("an owner gives an idle slot, once") {
+TEST_CASE("an owner grants an idle slot only once") {
     scheduler_fixture f(2, 1, 1);
     f.link_peer();
     f.send(ask_of({21, 22}));
@@ -96,9 +96,9 @@
     CHECK(f.all<start_request>().empty());
 }
 
-TEST_CASE("the slot of a peer that died comes back when its lease ends") {
-    // A peer stops with a granted slot in use. Without an end to the lease
-    // the slot would be lost until the owner itself is restarted.
+TEST_CASE("the slot of a dead peer is freed when its lease ends") {
+    // A peer dies while it uses a granted slot. Without an end of the lease,
+    // the slot would be lost until the owner itself restarts.
     scheduler_fixture f(1, 1, 1);
     f.link_peer();
     f.send(ask_of({21}));
@@ -112,7 +112,7 @@
     CHECK(f.scheduler().slots()[0].in_flight == 0);
 }
 
-TEST_CASE("a standing ask gets the next slot when nothing waits here") {
+TEST_CASE("a pending ask gets the next slot if no own request waits") {
     scheduler_fixture f(1, 1, 1);
     f.link_peer();
     f.arrive(1);
@@ -125,9 +125,9 @@
     CHECK(f.all<give_grant>().size() == 1);
 }
 
-TEST_CASE("a slot that no waiting request here may use is lent") {
-    // The request that waits has just failed on this server and must not go
-    // there again. Kept for it, the slot would stand idle.
+TEST_CASE("a slot that no waiting own request may use is granted") {
+    // The waiting request has just failed on this server and must not use it
+    // again. If the slot were reserved for it, the slot would stay idle.
     scheduler_fixture f(2, 1, 1);
     f.link_peer();
     request_arrived again = f.request(1, 100ms);
@@ -138,7 +138,7 @@
     CHECK(f.all<give_grant>().size() == 1);
 }
 
-TEST_CASE("a withdrawn or forgotten ask gets nothing") {
+TEST_CASE("a withdrawn or expired ask gets no grant") {
     scheduler_fixture f(1, 1, 1);
     f.link_peer();
     f.arrive(1);
@@ -157,9 +157,9 @@
     CHECK(f.all<give_grant>().empty());
 }
 
-TEST_CASE("a request named again while its grant is under way gets no second") {
-    // The peer names all that waits every few milliseconds, and its word
-    // crosses the grant. A second slot would stand idle for a round trip.
+TEST_CASE("a repeated ask for a granted request gets no second grant") {
+    // The peer repeats its full ask every few milliseconds, and the ask crosses
+    // the grant. A second slot would stay idle for a round trip.
     scheduler_fixture f(1, 2, 1);
     f.link_peer();
     f.send(ask_of({21}));
@@ -170,9 +170,9 @@
     CHECK(f.all<give_grant>().empty());
 }
 
-TEST_CASE("what a peer does not name again waits no longer") {
-    // A withdrawal is lost with a link that breaks. The slot would go to a
-    // request that has long been answered.
+TEST_CASE("a full ask replaces the previous requests of the peer") {
+    // A withdrawal is lost when a connection breaks. The slot would be granted
+    // for a request that has long been answered.
     scheduler_fixture f(1, 1, 1);
     f.link_peer();
     f.arrive(1);
@@ -185,12 +185,12 @@
     CHECK(f.all<give_grant>()[0].request == 22);
 }
 
-TEST_CASE("the most urgent request goes first, whoever holds it") {
+TEST_CASE("the most urgent request goes first, own or of a peer") {
     scheduler_fixture f(1, 1, 1);
     f.link_peer();
     f.arrive(1);
     f.arrive(2, 900ms);
-    // As an instance that owns nothing asks.
+    // The peer asks as an instance that owns no slots.
     f.view.owners.owners.pop_back();
     f.apply_view();
     f.send(ask_of({21}, 300ms));
@@ -199,9 +199,9 @@
     CHECK(f.all<give_grant>()[0].request == 21);
 }
 
-TEST_CASE("a granted slot for a request that is gone goes back at once") {
-    // The caller leaves while the grant is under way. Kept, the slot would be
-    // lost until the lease ends.
+TEST_CASE("a grant for a cancelled request is returned at once") {
+    // The caller disconnects before the grant arrives. If the grant were kept,
+    // the slot would be lost until the lease ends.
     scheduler_fixture f = busy_owner();
     f.send(request_cancelled{2});
     f.send(grant_of("b", 2));
@@ -210,10 +210,10 @@
     CHECK(!f.all<return_grant>()[0].use);
 }
 
-TEST_CASE("a standby takes the place of an owner that is out of reach") {
-    // The instance that hands out a service's slots is killed. Until it is
-    // known to be gone, callers of all other instances would be refused or
-    // share out the slots blindly.
+TEST_CASE("a standby replaces an unreachable owner") {
+    // The instance that owns a service's slots is killed. Without a standby,
+    // other instances would refuse callers or use slots without coordination
+    // until the owner is detected as gone.
     scheduler_fixture f(2, 4, 0);
     f.view.owners.owners.erase(f.view.owners.owners.begin());
     f.view.owners.standbys = {{{"entry-0", 1}, "sea", {}, 0}};
@@ -233,9 +233,10 @@
     CHECK(!f.all<answer_ask>()[0].is_owner);
 }
 
-TEST_CASE("a peer that is no owner is asked no more") {
-    // This instance has lost its link to the owner, the standby has not. Were
-    // the standby asked on, requests here would wait for their deadlines.
+TEST_CASE("a peer that answers that it is no owner is not asked again") {
+    // This instance has lost its connection to the owner, the standby has not.
+    // If the instance kept asking the standby, requests would wait until their
+    // deadlines.
     scheduler_fixture f(2, 4, 0);
     f.view.owners.owners.erase(f.view.owners.owners.begin());
     f.view.owners.standbys = {{{"entry-2", 1}, "sea", {}, 0}};
@@ -251,11 +252,12 @@
     CHECK(f.all<start_request>().size() == 1);
 }
 
-TEST_CASE("a peer that was no owner yet is asked once it is") {
-    // Instances learn at different moments of those that have just started.
-    // Asked too early, the owner says that it is none, and nobody tells when it
-    // is; left at that, this instance would go on using a share of slots that
-    // the owner gives to others, and requests would wait inside the servers.
+TEST_CASE("a peer that becomes an owner later is asked then") {
+    // Instances learn of newly started ones at different times. An owner that
+    // is asked too early answers that it is none, and sends no message when it
+    // becomes one. Without further checks this instance would keep using a
+    // share of slots that the owner grants to others, and requests would queue
+    // in the servers.
     scheduler_fixture f(2, 4, 0);
     f.view.owners.owners.erase(f.view.owners.owners.begin());
     f.apply_view();
@@ -263,7 +265,7 @@
     f.arrive(1);
     f.send(ask_answered{"entry-1", 0, false, {}});
     REQUIRE(f.all<start_request>().size() == 1);
-    for (int looks = 0; looks < 3; ++looks) {
+    for (int checks = 0; checks < 3; ++checks) {
         f.pass(50ms);
         REQUIRE(f.all<ask_slots>().size() == 1);
         CHECK(f.all<ask_slots>()[0].peer == "entry-1");
@@ -279,9 +281,9 @@
     CHECK(f.all<ask_slots>()[0].waiting.size() == 1);
 }
 
-TEST_CASE("a silent owner is looked for while nothing waits here") {
-    // The ask came before the owner had read its configuration, and is lost.
-    // It never answers, so only another can bring it back.
+TEST_CASE("an unresponsive owner is checked while no request waits") {
+    // An ask arrives before the owner has read its configuration, and is lost.
+    // The owner never answers it, so only another ask shows that it responds.
     scheduler_fixture f(2, 4, 0);
     f.view.owners.owners.erase(f.view.owners.owners.begin());
     f.apply_view();
@@ -308,10 +310,10 @@
     CHECK(f.all<ask_slots>().empty());
 }
 
-TEST_CASE("a silent owner is not asked for a word with every view") {
-    // Hundreds of instances start, and each tells the others: views come
-    // hundreds of times a second. Each look would cost the peer, who has most
-    // to do just then, a message of every other instance.
+TEST_CASE("an unresponsive owner is not checked with every view") {
+    // Hundreds of instances start and announce themselves, so that the view
+    // changes hundreds of times a second. A check with each view would send the
+    // peer, which is busiest then, a message from every other instance.
     scheduler_fixture f(2, 4, 0);
     f.link_peer();
     f.arrive(1);
@@ -329,7 +331,7 @@
     CHECK(asked <= 41);
 }
 
-TEST_CASE("who asks for a word gets one") {
+TEST_CASE("a status check is answered") {
     scheduler_fixture f(2, 4, 1);
     f.link_peer();
     slots_asked ask;
@@ -341,9 +343,9 @@
     CHECK(f.all<answer_ask>()[0].idle == 4);
 }
 
-TEST_CASE("an owner without a word is replaced by a share of its slots") {
-    // All owners are stopped or cut off, and their links still look open.
-    // Requests at an instance without slots would wait for ever.
+TEST_CASE("a share of the slots of an unresponsive owner is used") {
+    // All owners are suspended or disconnected, and their connections still
+    // appear open. Requests at an instance without slots would wait forever.
     scheduler_fixture f(2, 4, 0);
     f.view.owners.owners.erase(f.view.owners.owners.begin());
     f.apply_view();
@@ -359,13 +361,13 @@
         }
     }
     CHECK(f.all<start_request>().size() == 1);
-    // Two members share four slots of each server.
+    // Two members share the four slots of each server.
     CHECK(f.scheduler().slots()[0].usable == 2);
     f.send(ask_answered{"entry-1", 0, true, {}});
     CHECK(f.scheduler().slots()[0].usable == 0);
 }
 
-TEST_CASE("without a link to the owner its slots are shared at once") {
+TEST_CASE("without a connection to the owner its slots are shared at once") {
     scheduler_fixture f(1, 4, 0);
     f.arrive(1);
     CHECK(f.all<start_request>().size() == 1);
@@ -374,9 +376,9 @@
     CHECK(f.all<start_request>().empty());
 }
 
-TEST_CASE("the owner that is left takes the lost owner's slots whole") {
-    // One of two owners fails. Were its slots divided among all instances,
-    // most would stand idle, since callers now come to the other owner.
+TEST_CASE("the remaining owner uses all slots of the lost owner") {
+    // One of two owners fails. If its slots were divided among all instances,
+    // most would stay idle, since callers are now sent to the other owner.
     scheduler_fixture f(2, 4, 1);
     for (int i = 2; i < 18; ++i) {
         member other;
@@ -389,10 +391,10 @@
     CHECK(f.scheduler().slots()[1].usable == 0);
 }
 
-TEST_CASE("what all owners decline is refused at once with a moment") {
-    // A caller reaches an instance without slots while the service is above
-    // capacity. Held until its deadline, it would hear far too late that it
-    // should come back.
+TEST_CASE("a request that all owners decline is refused at once") {
+    // A caller reaches an instance without slots while the service is
+    // overloaded. If the request were held until its deadline, the caller would
+    // be told far too late when to come back.
     scheduler_fixture f(1, 1, 0);
     f.link_peer();
     f.arrive(1);
@@ -405,15 +407,15 @@
     CHECK(refused[1].come_back_in == 720ms);
 }
 
-TEST_CASE("a lent slot outside of a request's data centres is given back") {
-    // Guards against a request that is kept to a region and runs abroad on a
-    // slot that was lent to another request.
+TEST_CASE("a grant outside of a request's data centres is returned") {
+    // Guards against a request that is restricted to a region and runs outside
+    // of it on a granted slot.
     scheduler_fixture f(2, 2, 0);
     f.link_peer();
     auto kept = f.request(1);
     kept.data_centres = {{"boi"}};
     f.send(kept);
-    // No server lies there.
+    // There is no server in that data centre.
     REQUIRE(f.all<refuse_request>().size() == 1);
     CHECK(f.all<refuse_request>()[0].reason ==
           refusal_reason::no_backend_server);
--- a/test/scheduling/health_test.cpp
+++ b/test/scheduling/health_test.cpp
@@ -8,10 +8,12 @@
 
 namespace {
 
-// Runs requests one after the other; those on "a" end as told, others well.
-class one_at_a_time {
+// Runs requests one after the other. Requests on "a" end with the given
+// verdict, others succeed.
+class sequential_requests {
 public:
-    explicit one_at_a_time(scheduler_fixture& fixture) : fixture_(fixture) {}
+    explicit sequential_requests(scheduler_fixture& fixture)
+        : fixture_(fixture) {}
 
     void run(int requests, attempt_verdict on_a, duration time_on_a) {
         for (int i = 0; i < requests; ++i) {
@@ -37,10 +39,11 @@
 
 } // namespace
 
-TEST_CASE("a backend server that fails fast is passed over") {
-    // Its errors come quickest, so that it is free whenever a request comes.
+TEST_CASE("a backend server that fails fast is excluded") {
+    // Its errors are faster than answers of other servers, so that it always
+    // has free slots and would attract most requests.
     scheduler_fixture f(3, 2, 3);
-    one_at_a_time traffic(f);
+    sequential_requests traffic(f);
     traffic.run(200, attempt_verdict::failed, 1ms);
     CHECK(traffic.on_a() < 20);
     CHECK(f.scheduler().slots()[0].failing);
@@ -48,19 +51,19 @@
 
 TEST_CASE("a backend server that recovered is used again") {
     scheduler_fixture f(3, 2, 3);
-    one_at_a_time failing(f);
+    sequential_requests failing(f);
     failing.run(100, attempt_verdict::failed, 1ms);
     REQUIRE(f.scheduler().slots()[0].failing);
     f.now += 60s;
-    one_at_a_time well(f);
-    well.run(100, attempt_verdict::answered, 20ms);
+    sequential_requests recovered(f);
+    recovered.run(100, attempt_verdict::answered, 20ms);
     CHECK(!f.scheduler().slots()[0].failing);
-    CHECK(well.on_a() > 10);
+    CHECK(recovered.on_a() > 10);
 }
 
-TEST_CASE("errors of all backend servers shut none out") {
-    // Every request fails, since something behind all of them broke. Were
-    // they all shut out, the service would stay down after the repair.
+TEST_CASE("no server is excluded if all servers fail") {
+    // Every request fails because of a fault that affects all servers. If all
+    // servers were excluded, the service would stay down after the repair.
     scheduler_fixture f(2, 1, 2);
     for (request_id id = 1; id <= 50; ++id) {
         f.arrive(id);
@@ -70,39 +73,39 @@
     }
 }
 
-TEST_CASE("an owner of failing servers only asks the other owners first") {
-    // The one backend server that this instance owns answers 500 at once.
-    // Were it used because nothing else is owned here, half of all callers
-    // would see an error while the other owner's servers are well.
+TEST_CASE("an owner whose servers all fail asks other owners first") {
+    // The only backend server that this instance owns answers 500 immediately.
+    // If the instance used it because it owns no other, half of all callers
+    // would get an error although the servers of the other owner work.
     scheduler_fixture f(2, 2, 1);
-    one_at_a_time failing(f);
+    sequential_requests failing(f);
     failing.run(10, attempt_verdict::failed, 1ms);
     REQUIRE(f.scheduler().slots()[0].failing);
     f.link_peer();
     f.arrive(1000);
     CHECK(f.all<start_request>().empty());
     CHECK(f.all<ask_slots>().size() == 1);
-    // Nobody lends: then an error is better than no answer.
+    // No owner grants a slot; an error is better than no answer.
     f.pass(60ms);
     CHECK(f.all<start_request>().size() == 1);
 }
 
-TEST_CASE("a straggler is passed over and found again when well") {
+TEST_CASE("a straggler is avoided and used again after recovery") {
     scheduler_fixture f(3, 2, 3);
-    one_at_a_time slow(f);
+    sequential_requests slow(f);
     slow.run(200, attempt_verdict::answered, 160ms);
     CHECK(f.scheduler().slots()[0].straggler);
     CHECK(slow.on_a() < 30);
-    one_at_a_time well(f);
-    well.run(1000, attempt_verdict::answered, 20ms);
+    sequential_requests recovered(f);
+    recovered.run(1000, attempt_verdict::answered, 20ms);
     CHECK(!f.scheduler().slots()[0].straggler);
-    CHECK(well.on_a() > 100);
+    CHECK(recovered.on_a() > 100);
 }
 
-TEST_CASE("a server that sheds gets less for a while, then all again") {
-    // Two owners hand out the same slots during a partition, and the backend
-    // server refuses what is too much. Asked again at once it would refuse
-    // again, at the cost of a round trip each.
+TEST_CASE("a server that refuses as full gets fewer requests for a while") {
+    // During a partition two owners assign the same slots, and the backend
+    // server refuses the excess requests. If it were tried again at once, it
+    // would refuse again, and each refusal costs a round trip.
     scheduler_fixture f(1, 4, 1);
     f.arrive(1);
     f.finish(1, attempt_verdict::shed, 1ms);
@@ -119,11 +122,11 @@
     CHECK(f.scheduler().slots()[0].usable == 4);
 }
 
-TEST_CASE("servers that refuse with slots free keep their slots") {
-    // A fault makes every backend server of a service refuse half of its
-    // requests at random, with most of its slots free. Taken for full, they
-    // would be given one request at a time, and callers that they could well
-    // serve would be turned away by us, for long after the fault has passed.
+TEST_CASE("servers that refuse although they have free slots keep them") {
+    // A fault makes all backend servers of a service refuse half of their
+    // requests at random while most of their slots are free. If they counted as
+    // full, they would get one request at a time, and the instance would refuse
+    // callers that they could serve, long after the fault has ended.
     scheduler_fixture f(2, 4, 2);
     for (request_id id = 1; id <= 40; ++id) {
         f.arrive(id);
@@ -140,10 +143,10 @@
     CHECK(f.scheduler().slots()[1].usable == 4);
 }
 
-TEST_CASE("a server that refuses everything is asked less and less") {
-    // It says that it has free slots and refuses all the same. Asked again
-    // and again it would take every request for itself, since it is always
-    // the emptiest.
+TEST_CASE("a server that refuses all requests gets fewer and fewer") {
+    // The server reports free slots and still refuses. If it were tried again
+    // each time, it would attract every request, because it always has the most
+    // free slots.
     scheduler_fixture f(1, 4, 1);
     unsigned asked = 0;
     for (request_id id = 1; id <= 200; ++id) {
@@ -161,8 +164,8 @@
     CHECK(asked < 20);
 }
 
-TEST_CASE("a restarted backend server is ramped up from one slot") {
-    // Its caches are cold: given all its slots at once, each of its first
+TEST_CASE("a restarted backend server starts with one usable slot") {
+    // Its caches are cold. If all its slots were used at once, all of its first
     // requests would be slow.
     scheduler_fixture f(1, 4, 1);
     f.view.beliefs = {{"a",
@@ -178,9 +181,10 @@
     CHECK(f.scheduler().slots()[0].usable == 1);
 }
 
-TEST_CASE("a suspect of crashing servers runs alone") {
-    // Several requests were in flight when a backend server died. The one
-    // that did it must not take others with it a second time.
+TEST_CASE("a request suspected of crashing servers runs alone") {
+    // Several requests were in flight when a backend server crashed. The
+    // request that caused the crash must not take others down with it a second
+    // time.
     scheduler_fixture f(1, 2, 1);
     request_arrived suspect = f.request(1);
     suspect.isolated = true;
--- a/test/scheduling/restarted_server_test.cpp
+++ b/test/scheduling/restarted_server_test.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// The registry names the server's start; "a" is the first one.
-void starts(scheduler_fixture& f, backend_incarnation at) {
+// Sets the incarnation of server "a" in the registry.
+void set_registered_incarnation(scheduler_fixture& f, backend_incarnation at) {
     configuration changed = *f.view.config;
     changed.services[0].backend_servers[0].incarnation = at;
     f.view.config = std::make_shared<const configuration>(changed);
@@ -25,31 +25,33 @@
     return {};
 }
 
-backend_belief word(backend_incarnation of, backend_state state) {
+backend_belief belief_about_a(backend_incarnation of, backend_state state) {
     return {"a", of, state, belief_source::traffic, "entry-1", time_point()};
 }
 
 } // namespace
 
-TEST_CASE("a server that started again is not held by its former requests") {
-    // A backend server crashes behind a partition and starts again under the
-    // name that it had. Nothing tells of its connections: counted on, the
-    // requests that were lost there would keep its slots until their deadlines.
+TEST_CASE("requests lost in a server restart do not occupy its slots") {
+    // A backend server crashes behind a partition and restarts under the same
+    // name. The connections do not report the crash. If the lost requests still
+    // counted, they would occupy slots of the server until their deadlines.
     scheduler_fixture f(1, 2, 1);
-    starts(f, 100);
+    set_registered_incarnation(f, 100);
     f.arrive(1);
     f.arrive(2);
     CHECK(report_of(f, "a").in_flight == 2);
-    starts(f, 200);
+    set_registered_incarnation(f, 200);
     CHECK(report_of(f, "a").in_flight == 0);
     f.arrive(3);
     CHECK(f.all<start_request>().size() == 1);
 }
 
-TEST_CASE("how the former process fared does not count for the new one") {
-    // It was slow and failed; the one that follows it knows nothing of that.
+TEST_CASE(
+    "the health of a previous incarnation does not apply to the new one") {
+    // The previous process failed. If that counted for the new one, a working
+    // server would be excluded.
     scheduler_fixture f(2, 2, 2);
-    starts(f, 100);
+    set_registered_incarnation(f, 100);
     for (request_id id = 1; id <= 40; ++id) {
         f.arrive(id);
         const auto started = f.all<start_request>();
@@ -63,50 +65,50 @@
                  on_a ? attempt_verdict::failed : attempt_verdict::answered);
     }
     CHECK(report_of(f, "a").failing);
-    starts(f, 200);
+    set_registered_incarnation(f, 200);
     CHECK_FALSE(report_of(f, "a").failing);
-    CHECK(report_of(f, "a").usable == 1); // it begins cold
+    CHECK(report_of(f, "a").usable == 1); // it starts cold
 }
 
-TEST_CASE(
-    "the end of a request on the former process says nothing of the new") {
-    // The connection to the former process breaks seconds after the new one has
-    // begun to serve. Taken for the new one's death, it would be passed over.
+TEST_CASE("a failure on a previous incarnation does not apply to the new one") {
+    // The connection to the previous process breaks seconds after the new one
+    // has started to serve. If that counted as a crash of the new process, a
+    // working server would be excluded.
     scheduler_fixture f(2, 2, 2);
-    starts(f, 100);
+    set_registered_incarnation(f, 100);
     f.arrive(1);
     f.arrive(2);
-    starts(f, 200);
+    set_registered_incarnation(f, 200);
     f.finish(1, attempt_verdict::died);
     f.finish(2, attempt_verdict::died);
     CHECK_FALSE(report_of(f, "a").failing);
     CHECK(report_of(f, "a").in_flight == 0);
 }
 
-TEST_CASE("late word of the former process does not count for the new one") {
-    // A peer's "it is leaving" was under way when the server started again. A
-    // server that leaves never comes back under the same start, so that
-    // believed it would shut the new one out for good.
+TEST_CASE("late beliefs about a previous incarnation are ignored") {
+    // A peer's belief that the server is leaving arrives after the restart. A
+    // leaving server never returns in the same incarnation, so that the belief
+    // would exclude the new incarnation for good.
     scheduler_fixture f(1, 2, 1);
-    starts(f, 100);
-    f.view.beliefs = {word(100, backend_state::leaving)};
+    set_registered_incarnation(f, 100);
+    f.view.beliefs = {belief_about_a(100, backend_state::leaving)};
     f.apply_view();
     f.arrive(1);
     CHECK(f.all<start_request>().empty());
-    starts(f, 200);
+    set_registered_incarnation(f, 200);
     f.arrive(2);
     CHECK(report_of(f, "a").usable == 1);
-    // And word of the new one does not count for a former that is still known.
-    f.view.beliefs = {word(200, backend_state::leaving)};
+    // A belief about the new incarnation does apply to it.
+    f.view.beliefs = {belief_about_a(200, backend_state::leaving)};
     f.apply_view();
     CHECK(report_of(f, "a").usable == 0);
 }
 
-TEST_CASE("word that does not tell the server's start counts as before") {
+TEST_CASE("a belief without an incarnation applies to any incarnation") {
     scheduler_fixture f(1, 2, 1);
-    f.view.beliefs = {word(0, backend_state::leaving)};
+    f.view.beliefs = {belief_about_a(0, backend_state::leaving)};
     f.apply_view();
     CHECK(report_of(f, "a").usable == 0);
-    starts(f, 100);
+    set_registered_incarnation(f, 100);
     CHECK(report_of(f, "a").usable == 0);
 }
--- a/test/scheduling/slots_test.cpp
+++ b/test/scheduling/slots_test.cpp
@@ -7,7 +7,7 @@
 using namespace waxwingvale;
 using namespace waxwingvale::decision;
 
-TEST_CASE("a request gets a free slot at once") {
+TEST_CASE("a request starts at once on a free slot") {
     scheduler_fixture f(2, 1, 2);
     f.arrive(1);
     REQUIRE(f.all<start_request>().size() == 1);
@@ -20,7 +20,8 @@
     CHECK(f.scheduler().queued() == 1);
 }
 
-TEST_CASE("a waiting request is bound when a slot is free, not before") {
+TEST_CASE(
+    "a waiting request is assigned to a server only when a slot is free") {
     scheduler_fixture f(2, 1, 2);
     f.arrive(1);
     const std::string server = f.all<start_request>()[0].backend_server;
@@ -33,8 +34,8 @@
 }
 
 TEST_CASE("nothing is started on a backend server that is leaving") {
-    // An operator takes a backend server out. A request sent there would be
-    // refused or cut off when it stops.
+    // An operator removes a backend server. A request sent there would be
+    // refused, or aborted when the server stops.
     scheduler_fixture f(2, 2, 2);
     f.view.beliefs = {{"a",
                        1,
@@ -52,9 +53,10 @@
     CHECK(f.scheduler().queued() == 2);
 }
 
-TEST_CASE("word about a former incarnation shuts nobody out") {
-    // A backend server crashed and was started again; a peer's word about the
-    // crash arrives after the restart. Believed, it would idle a good server.
+TEST_CASE("a belief about a previous incarnation excludes no server") {
+    // A backend server has crashed and restarted; a peer's belief about the
+    // crash arrives after the restart. If it applied, a working server would
+    // stay idle.
     scheduler_fixture f(1, 1, 1);
     f.view.beliefs = {
         {"a", 2, backend_state::serving, belief_source::traffic, "entry-0", {}},
@@ -64,9 +66,9 @@
     CHECK(f.all<start_request>().size() == 1);
 }
 
-TEST_CASE("suspicion never shuts out all backend servers") {
-    // The network near one entry instance breaks for a moment, and all
-    // backend servers look dead from there. Callers would see an outage.
+TEST_CASE("suspicions never exclude all backend servers") {
+    // The network near one entry instance fails briefly, and all backend
+    // servers appear dead from there. Callers would see an outage.
     scheduler_fixture f(2, 1, 2);
     f.view.beliefs = {
         {"a", 1, backend_state::dead, belief_source::probe, "entry-0", {}},
@@ -76,7 +78,7 @@
     CHECK(f.all<start_request>().size() == 1);
 }
 
-TEST_CASE("without a backend server the refusal comes at once") {
+TEST_CASE("without a backend server a request is refused at once") {
     scheduler_fixture f(1, 1, 1);
     f.view.beliefs = {{"a",
                        1,
@@ -92,9 +94,10 @@
     CHECK(f.all<refuse_request>()[0].come_back_in > 0us);
 }
 
-TEST_CASE("an instance that knows no other uses one slot of each server") {
-    // All instances start at one moment and none has heard of another yet. Each
-    // that takes itself for the only one would fill every backend server.
+TEST_CASE(
+    "an instance that knows no other instance uses one slot of each server") {
+    // All instances start at the same time and do not know each other yet. If
+    // each assumed to be the only one, each would fill all backend servers.
     scheduler_fixture f(3, 4, 3);
     f.view.introduced = false;
     f.view.owners.owners.clear();
@@ -106,9 +109,10 @@
     CHECK(f.scheduler().queued() == 3);
 }
 
-TEST_CASE("views that follow each other leave servers their turns") {
-    // Between two requests of a quiet service comes a new view. If each began
-    // with the first server again, nothing would be learned of the others.
+TEST_CASE("frequent views do not restart the rotation of servers") {
+    // A service has few requests, and the view changes between any two of them.
+    // If each view restarted the rotation at the first server, nothing would be
+    // learned about the others.
     scheduler_fixture f(6, 2, 6);
     std::map<std::string, unsigned> begun;
     for (request_id id = 1; id <= 60; ++id) {
--- a/test/scheduling/targets_test.cpp
+++ b/test/scheduling/targets_test.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// An owner of all servers, whose requests of 20 ms are worth most within
-// 100 ms, and who has seen enough of them to know.
-scheduler_fixture practised(unsigned servers, unsigned slots) {
+// An owner of all servers that has already learned the service time of 20 ms.
+// Its requests have a target time of 100 ms unless a test sets another.
+scheduler_fixture experienced_owner(unsigned servers, unsigned slots) {
     scheduler_fixture f(servers, slots, servers);
     for (request_id id = 100000; id < 100040; ++id) {
         f.arrive(id);
@@ -27,7 +27,7 @@
     return made;
 }
 
-probe_ended told(const std::string& server, double slowness) {
+probe_ended load_report_of(const std::string& server, double slowness) {
     return {server, true, backend_load{0, 0, 4, slowness}};
 }
 
@@ -41,36 +41,37 @@
 
 } // namespace
 
-TEST_CASE("a slowed server gets no request that it would answer late") {
-    // Others on its machine make one backend server eight times slower for a
-    // moment. Whoever is sent there by free slots alone waits far longer than
-    // the service promises, while the other server stands idle.
-    scheduler_fixture f = practised(2, 4);
-    f.send(told("a", 8.0));
-    f.send(told("b", 1.0));
+TEST_CASE("a slow server gets no request that it would answer late") {
+    // Other software on its machine makes one backend server eight times slower
+    // for a short time. If only free slots counted, requests sent there would
+    // miss the target time while the other server is idle.
+    scheduler_fixture f = experienced_owner(2, 4);
+    f.send(load_report_of("a", 8.0));
+    f.send(load_report_of("b", 1.0));
     for (request_id id = 1; id <= 4; ++id) {
         f.send(with_target(f, id));
         CHECK(started_on(f, "a") == 0);
         CHECK(started_on(f, "b") == 1);
     }
-    // With the good one full a request rather waits than be late for sure.
+    // The fast server is full: a request waits rather than certainly be late.
     f.send(with_target(f, 5));
     CHECK(f.all<start_request>().empty());
     CHECK(f.scheduler().queued() == 1);
-    f.send(told("a", 1.0));
+    f.send(load_report_of("a", 1.0));
     CHECK(started_on(f, "a") == 1);
 }
 
-TEST_CASE("word of a server's pace is believed less the older it is") {
-    // A server was slowed down a second ago and has told nothing since. Shut
-    // out until it tells again, it would never be used without probes.
-    scheduler_fixture f = practised(2, 4);
+TEST_CASE("a report of slowness counts less the older it is") {
+    // A server was slow two seconds ago and has sent no report since. If it
+    // were excluded until the next report, it would never be used without
+    // probes.
+    scheduler_fixture f = experienced_owner(2, 4);
     for (int i = 0; i < 20; ++i) {
-        f.send(told("a", i % 4 == 0 ? 8.0 : 1.0));
+        f.send(load_report_of("a", i % 4 == 0 ? 8.0 : 1.0));
         f.now += 50ms;
     }
-    f.send(told("a", 8.0));
-    f.send(told("b", 8.0));
+    f.send(load_report_of("a", 8.0));
+    f.send(load_report_of("b", 8.0));
     f.send(with_target(f, 1));
     CHECK(f.all<start_request>().empty());
     f.now += 2s;
@@ -78,13 +79,13 @@
     CHECK(f.all<start_request>().size() == 1);
 }
 
-TEST_CASE("what can only be late goes after what can be in time") {
-    // More requests come than can be answered in time. Served as they came,
-    // each would be late; so those that already are wait for those that are
-    // not.
-    scheduler_fixture f = practised(1, 1);
+TEST_CASE("requests that can only be late wait for those that can be in time") {
+    // More requests arrive than can be answered in time. If they were served in
+    // order of arrival, all would be late. Therefore requests that are already
+    // late wait for those that are not.
+    scheduler_fixture f = experienced_owner(1, 1);
     f.send(with_target(f, 1));
-    f.send(with_target(f, 2, 5ms));  // late already
+    f.send(with_target(f, 2, 5ms));  // already late
     f.send(with_target(f, 3, 90ms)); // can be in time
     f.now += 20ms;
     f.finish(1);
@@ -96,10 +97,12 @@
     CHECK(f.all<start_request>()[0].request == 2);
 }
 
-TEST_CASE("what no slot is left for is refused at once, with a moment") {
-    // Three times as many requests come as the slots can serve. Told only at
-    // their deadlines, callers could not have gone elsewhere meanwhile.
-    scheduler_fixture f = practised(1, 1);
+TEST_CASE(
+    "requests beyond capacity are refused at once with a time to come back") {
+    // Three times as many requests arrive as the slots can serve. If callers
+    // were refused only at their deadlines, they could not use another instance
+    // in the meantime.
+    scheduler_fixture f = experienced_owner(1, 1);
     std::size_t refused = 0;
     for (request_id id = 1; id <= 60; ++id) {
         f.send(with_target(f, id));
@@ -110,20 +113,21 @@
         }
         f.now += 5ms;
         if (id % 4 == 0) {
-            f.finish(id - 3); // whichever runs, at about that time
+            f.finish(id - 3); // the running request, approximately
         }
     }
     CHECK(refused > 20);
 }
 
-TEST_CASE("answers of servers that others fill do not become the usual") {
-    // All instances were restarted, and for a moment several of them give out
-    // the slots of the same servers. Each sees answers that take 1.7 times as
-    // long although it runs few requests. Taken for the usual, they make a full
-    // server look like any other, and every server is filled from then on.
+TEST_CASE("answers of servers that others fill do not become the baseline") {
+    // After a restart of all instances, several of them assign the slots of the
+    // same servers for a short time. Each gets answers that take 1.7 times as
+    // long although it runs few requests itself. If these became the baseline,
+    // full servers would look normal, and all servers would be filled from then
+    // on.
     scheduler_fixture f(1, 6, 1);
     const auto run_together = [&](request_id first, unsigned count,
-                                  unsigned told, duration takes) {
+                                  unsigned reported, duration takes) {
         for (request_id id = first; id < first + count; ++id) {
             f.send(f.request(id));
         }
@@ -133,7 +137,7 @@
             ended.request = id;
             ended.verdict = attempt_verdict::answered;
             ended.service_time = takes;
-            ended.load = backend_load{told, 0, 6, 1.0};
+            ended.load = backend_load{reported, 0, 6, 1.0};
             f.send(ended);
         }
     };
@@ -144,7 +148,8 @@
     for (int round = 0; round < 30; ++round, next += 2) {
         run_together(next, 2, 2, 20ms);
     }
-    // Alone on it, what begins beside four others takes as long.
+    // Without other instances, a request that starts beside four others takes
+    // as long.
     for (int round = 0; round < 30; ++round, next += 6) {
         for (request_id id = next; id < next + 6; ++id) {
             f.send(f.request(id));
@@ -164,10 +169,11 @@
     CHECK(f.scheduler().slots()[0].in_flight < 6);
 }
 
-TEST_CASE("a server that crowding slows down is not filled to the brim") {
-    // With five or six requests at once each takes 1.7 times as long there: six
-    // at once do less than four. Filled up whenever much comes, the servers
-    // would do least just then.
+TEST_CASE("a server that slows down under contention is not filled") {
+    // Requests that start as the fifth or sixth take 1.7 times as long, so that
+    // the throughput with six requests is lower than with four. If the servers
+    // were filled under load, their throughput would be lowest when it is
+    // needed most.
     scheduler_fixture f(1, 6, 1);
     request_id next = 1;
     int rounds = 0;
@@ -192,10 +198,10 @@
     CHECK(f.scheduler().in_flight() == 4);
 }
 
-TEST_CASE("a large answer waits for a near server, then comes from afar") {
-    // The one server near by is busy. Bytes between data centres are dear, but
-    // a caller must not lose the answer's worth for it.
-    scheduler_fixture f = practised(2, 1);
+TEST_CASE("a large answer waits for a near server, then uses a distant one") {
+    // The only near server is busy. Traffic between data centres is expensive,
+    // but a caller must not miss the target time to avoid it.
+    scheduler_fixture f = experienced_owner(2, 1);
     configuration config = *f.view.config;
     config.services[0].backend_servers[1].data_centre = "pdx";
     f.view.config = std::make_shared<const configuration>(config);
@@ -220,7 +226,7 @@
 }
 
 TEST_CASE("without a near server a large answer does not wait for one") {
-    scheduler_fixture f = practised(1, 2);
+    scheduler_fixture f = experienced_owner(1, 2);
     configuration config = *f.view.config;
     config.services[0].backend_servers[0].data_centre = "pdx";
     f.view.config = std::make_shared<const configuration>(config);
@@ -238,10 +244,11 @@
     CHECK(started_on(f, "a") == 1);
 }
 
-TEST_CASE("repeated attempts stop at the service's budget for all instances") {
-    // An answer is lost now and then, and hundreds of instances repeat reads.
-    // Each within a budget of its own, they would together double the load of
-    // a service that is in trouble.
+TEST_CASE(
+    "retries are limited by one budget of the service for all instances") {
+    // Some answers are lost, and hundreds of instances retry reads. If each had
+    // a budget of its own, they would together double the load of a service
+    // that is already impaired.
     scheduler_fixture f(1, 4, 1);
     configuration config = *f.view.config;
     config.services[0].budgets.repeats = 0.1;
@@ -263,8 +270,8 @@
             CHECK(refused[0].reason == refusal_reason::retry_budget);
         }
     }
-    // A tenth of 100, and half of the eight: the owner before this one may
-    // have allowed the others.
+    // A tenth of 100, and half of the extra eight: a previous owner may have
+    // allowed the other half.
     CHECK(allowed >= 10);
     CHECK(allowed <= 14);
     f.now += 11s;
@@ -274,65 +281,65 @@
     CHECK(f.all<start_request>().size() == 1);
 }
 
-TEST_CASE("an owner that knows no paces asks all servers often") {
-    // All instances lost power, and the owner that takes over knows nothing.
-    // Half of the servers are slowed down. Taken for quick ones until their
-    // answers come, they get requests that are then late.
-    scheduler_fixture f = practised(2, 2);
+TEST_CASE("an owner without load reports probes all servers often") {
+    // All instances have restarted after a power loss, and the new owner knows
+    // nothing about the servers. Half of them are slow. If they counted as fast
+    // until their answers arrive, they would get requests that are then late.
+    scheduler_fixture f = experienced_owner(2, 2);
     f.send(with_target(f, 1));
     f.finish(1);
-    f.send(told("a", 1.0));
-    f.send(told("b", 4.0));
+    f.send(load_report_of("a", 1.0));
+    f.send(load_report_of("b", 4.0));
     CHECK(f.scheduler().unheard(f.now + 20ms).empty());
     CHECK(f.scheduler().unheard(f.now + 40ms).size() == 2);
 }
 
-TEST_CASE("servers of which nothing was heard lately are to be probed") {
-    scheduler_fixture f = practised(2, 2);
+TEST_CASE("servers without a recent load report are probed") {
+    scheduler_fixture f = experienced_owner(2, 2);
     for (int i = 0; i < 50; ++i) {
-        f.send(told("a", 1.0));
-        f.send(told("b", 4.0));
+        f.send(load_report_of("a", 1.0));
+        f.send(load_report_of("b", 4.0));
         f.now += 50ms;
     }
     f.now += 1s;
     f.send(with_target(f, 1));
     f.finish(1);
     CHECK(f.scheduler().unheard(f.now).size() == 2);
-    f.send(told("a", 1.0));
-    f.send(told("b", 4.0));
+    f.send(load_report_of("a", 1.0));
+    f.send(load_report_of("b", 4.0));
     CHECK(f.scheduler().unheard(f.now).empty());
     const auto soon = f.scheduler().unheard(f.now + 60ms);
     REQUIRE(soon.size() == 1);
     CHECK(soon[0] == "b");
     CHECK(f.scheduler().unheard(f.now + 200ms).size() == 2);
-    // Nobody asks for anything: nobody needs to know.
+    // Without requests no probes are needed.
     CHECK(f.scheduler().unheard(f.now + 30s).empty());
 }
 
-TEST_CASE("a server that answers no probe is passed over until it does") {
-    // A machine loses power: connections to it hang, and whoever is sent there
-    // waits for his deadline.
-    scheduler_fixture f = practised(3, 2);
-    f.send(told("a", 1.0));
-    f.send(told("b", 1.0));
-    f.send(told("c", 1.0));
+TEST_CASE("a server that does not answer probes is excluded until it does") {
+    // A machine loses power. Connections to it hang, and a request sent there
+    // waits until its deadline.
+    scheduler_fixture f = experienced_owner(3, 2);
+    f.send(load_report_of("a", 1.0));
+    f.send(load_report_of("b", 1.0));
+    f.send(load_report_of("c", 1.0));
     f.send(probe_ended{"a", false, std::nullopt});
     for (request_id id = 1; id <= 4; ++id) {
         f.send(with_target(f, id));
         CHECK(started_on(f, "a") == 0);
         CHECK(f.all<start_request>().size() == 1);
     }
-    f.send(told("a", 1.0));
+    f.send(load_report_of("a", 1.0));
     f.send(with_target(f, 5));
     CHECK(started_on(f, "a") == 1);
 }
 
-TEST_CASE("a slot that a request did not want is looked at again soon") {
-    // The only free server is slowed down, and nothing more is heard of it. A
-    // request that waits for a better slot becomes less choosy with time;
-    // looked at only when something is heard, it would wait until it is late.
-    scheduler_fixture f = practised(1, 2);
-    f.send(told("a", 8.0));
+TEST_CASE("a waiting request soon reconsiders a slot that it rejected") {
+    // The only free server is slow and sends no further report. A request that
+    // waits for a better slot tolerates more loss over time. If its choice were
+    // repeated only after a new report, it would wait until it is late.
+    scheduler_fixture f = experienced_owner(1, 2);
+    f.send(load_report_of("a", 8.0));
     f.send(with_target(f, 1));
     CHECK(f.all<start_request>().empty());
     std::size_t started = 0;
@@ -343,19 +350,19 @@
     CHECK(started == 1);
 }
 
-TEST_CASE("who waits goes before who comes") {
-    // Two servers are slowed down and requests wait for them to recover. Taken
-    // by whoever comes at the moment when one is heard to be well, the slots
-    // would never reach those that have waited.
-    scheduler_fixture f = practised(2, 1);
-    f.send(told("a", 8.0));
-    f.send(told("b", 8.0));
+TEST_CASE("waiting requests go before new ones") {
+    // Two servers are slow, and requests wait for them to recover. If a new
+    // request took the slot when a server reports its recovery, the slots would
+    // never reach the requests that have waited.
+    scheduler_fixture f = experienced_owner(2, 1);
+    f.send(load_report_of("a", 8.0));
+    f.send(load_report_of("b", 8.0));
     f.send(with_target(f, 1));
     f.send(with_target(f, 2, 110ms));
     CHECK(f.scheduler().queued() == 2);
     f.send(with_target(f, 3, 200ms));
     CHECK(f.all<start_request>().empty());
-    f.send(told("a", 1.0));
+    f.send(load_report_of("a", 1.0));
     REQUIRE(f.all<start_request>().size() == 1);
     CHECK(f.all<start_request>()[0].request == 1);
 }
--- a/test/steering/ownership_test.cpp
+++ b/test/steering/ownership_test.cpp
@@ -47,7 +47,7 @@
 
 } // namespace
 
-TEST_CASE("every backend server has one owner, and owners share evenly") {
+TEST_CASE("each backend server has one owner, and owners have equal slots") {
     const service of = service_of(15, 6);
     const ownership owners = compute_ownership(of, members_of(18));
     REQUIRE(owners.owners.size() == 3);
@@ -70,15 +70,15 @@
 }
 
 TEST_CASE("a small service has two owners, in two data centres") {
-    // One owner alone could fail and leave the service without any until the
-    // others notice; two in one data centre fail together with it.
+    // If a single owner failed, the service would have none until the other
+    // instances notice. Two owners in one data centre would fail together.
     const ownership owners =
         compute_ownership(service_of(2, 2), members_of(18));
     REQUIRE(owners.owners.size() == 2);
     CHECK(owners.owners[0].data_centre != owners.owners[1].data_centre);
 }
 
-TEST_CASE("an instance that owns nothing moves nothing when it goes") {
+TEST_CASE("the loss of an instance without slots moves no server") {
     const service of = service_of(15, 6);
     std::vector<member> members = members_of(18);
     const ownership before = compute_ownership(of, members);
@@ -92,10 +92,10 @@
     }
 }
 
-TEST_CASE("the loss of one owner leaves most servers with theirs") {
-    // An owner fails. Were all backend servers dealt out anew, the other
-    // owners would lose sight of what is in flight, and callers would see
-    // refusals from servers that are full.
+TEST_CASE("the loss of an owner leaves most servers with their owners") {
+    // An owner fails. If all backend servers were reassigned, the other owners
+    // would not know the requests in flight on their new servers, and full
+    // servers would refuse requests of callers.
     const service of = service_of(15, 6);
     std::vector<member> members = members_of(18);
     const ownership before = compute_ownership(of, members);
@@ -111,7 +111,7 @@
     }
 }
 
-TEST_CASE("the later incarnation of a replaced instance owns") {
+TEST_CASE("the later incarnation of a replaced instance becomes owner") {
     const service of = service_of(15, 6);
     std::vector<member> members = members_of(2);
     members.push_back(members[0]);
@@ -121,9 +121,10 @@
     CHECK(find_owner(owners, "entry-0")->member.incarnation == 7);
 }
 
-TEST_CASE("one owner has standbys in other data centres") {
-    // The owner's data centre loses power. Were its standbys there too, nobody
-    // could hand out the slots until all others have noticed.
+TEST_CASE("a single owner has standbys in other data centres") {
+    // The owner's data centre loses power. If its standbys were in the same
+    // one, no instance could assign the slots until all others have noticed the
+    // loss.
     service of = service_of(15, 6);
     of.owners = 1;
     const ownership owners = compute_ownership(of, members_of(18));
@@ -137,7 +138,7 @@
     CHECK(centres.size() == 4);
 }
 
-TEST_CASE("the first standby at hand acts for an owner out of reach") {
+TEST_CASE("the first reachable standby replaces an unreachable owner") {
     service of = service_of(15, 6);
     of.owners = 1;
     const ownership planned = compute_ownership(of, members_of(18));
@@ -154,10 +155,10 @@
     CHECK(with_standbys(planned, "elsewhere", {}) == planned);
 }
 
-TEST_CASE("weak machines own slots only when there are no others") {
-    // A fleet of a few half cores and many tenths. Every request of a service
-    // is decided on where its slots are owned: a tenth of a core would be late
-    // with each of them.
+TEST_CASE("low-capacity machines own slots only if there are no others") {
+    // A fleet has a few machines with half a core and many with a tenth. The
+    // owner decides on each request of a service; with a tenth of a core it
+    // would be too slow.
     service of = service_of(15, 6);
     of.owners = 1;
     std::vector<member> members = members_of(18);
--- a/test/steering/steering_test.cpp
+++ b/test/steering/steering_test.cpp
@@ -30,23 +30,23 @@
     }
 
     steering_answer steer(std::uint64_t caller,
-                          std::uint64_t window = 0) const {
+                          std::uint64_t request_number = 0) const {
         return steer_caller(
             config, owners, members,
-            {stable_hash(std::to_string(caller)), "sea", window});
+            {stable_hash(std::to_string(caller)), "sea", request_number});
     }
 };
 
 } // namespace
 
-TEST_CASE("the stable hash is the one that was released") {
-    // Instances of two versions must agree on owners; these figures never
-    // change.
+TEST_CASE("the stable hash has its released values") {
+    // Instances of different versions must agree on owners, so that these
+    // values must never change.
     CHECK(stable_hash("") == 0xF52A15E9A9B5E89BULL);
     CHECK(stable_hash("slate-view") == 0x454EEAA9A374A89FULL);
 }
 
-TEST_CASE("callers divide among owners as the slots do") {
+TEST_CASE("callers are distributed among owners in proportion to slots") {
     const fixture f;
     std::map<std::string, int> firsts;
     for (std::uint64_t caller = 0; caller < 3000; ++caller) {
@@ -57,7 +57,8 @@
     CHECK(firsts["entry-1"] < 2100);
 }
 
-TEST_CASE("fallbacks are the other owner, then instances nearby") {
+TEST_CASE(
+    "fallbacks are the other owner, then instances in the same data centre") {
     const fixture f;
     const steering_answer answer = f.steer(1);
     REQUIRE(answer.addresses.size() == addresses_per_answer);
@@ -69,9 +70,9 @@
     }
 }
 
-TEST_CASE("an owner that is silent is only a fallback") {
-    // An owner was not heard of for a while but still owns its slots. Callers
-    // sent there would wait for connections that nobody takes.
+TEST_CASE("a suspect owner is only a fallback") {
+    // An owner has not been heard from for a while but still owns its slots.
+    // Callers sent there would wait for connections that are never accepted.
     fixture f;
     f.members[1].state = member_state::suspect;
     for (std::uint64_t caller = 0; caller < 100; ++caller) {
@@ -79,17 +80,17 @@
     }
 }
 
-TEST_CASE("callers that asked together do not return together") {
-    // All devices wake on the hour. Kept for the same time, their addresses
-    // would run out in the same moment, hour after hour.
+TEST_CASE("callers with simultaneous requests get different ttls") {
+    // All devices wake up on the hour. With equal ttls their addresses would
+    // expire at the same moment, hour after hour.
     const fixture f;
-    std::set<duration> keeps;
+    std::set<duration> ttls;
     for (std::uint64_t caller = 0; caller < 100; ++caller) {
-        const duration keep = f.steer(caller).keep;
-        CHECK(keep >= 10s);
-        CHECK(keep <= 30s);
-        keeps.insert(keep);
+        const duration ttl = f.steer(caller).ttl;
+        CHECK(ttl >= 10s);
+        CHECK(ttl <= 30s);
+        ttls.insert(ttl);
     }
-    CHECK(keeps.size() > 95);
-    CHECK(f.steer(1, 0).keep != f.steer(1, 1).keep);
+    CHECK(ttls.size() > 95);
+    CHECK(f.steer(1, 0).ttl != f.steer(1, 1).ttl);
 }
