--- a/include/waxwingvale/decision/fingerprint.hpp
+++ b/include/waxwingvale/decision/fingerprint.hpp
@@ -6,9 +6,9 @@
 
 namespace waxwingvale::decision {
 
-// What makes two requests the same one: service, method, target and body, as a
-// digest that every process computes alike. Headers are left out, since they
-// change between the copies of one request (deadline, attempt).
+// Identifies a request by a digest of its service, method, target and body.
+// Every process and release computes the same value. Headers are left out
+// because they differ between the copies of one request (deadline, attempt).
 struct request_fingerprint {
     std::uint64_t value = 0;
 
@@ -23,25 +23,27 @@
     }
 };
 
-// The first 64 bits of a SHA-256 over the four parts, each with its length in
-// front so that no two splits of the same bytes agree. A digest that can be
-// made to collide would let one caller shut out another's request.
+// Returns the first 64 bits of a SHA-256 over the four parts. Each part is
+// preceded by its length, so that the same bytes split differently give
+// different digests. The hash is cryptographic because a caller who could
+// produce collisions could have another caller's request refused.
 request_fingerprint fingerprint_of(const std::string& service,
                                    const std::string& method,
                                    const std::string& target,
                                    const std::string& body);
 
-// A header line that may be part of what crashes a backend server.
+// A header that takes part in a crash fingerprint.
 struct fingerprint_header {
     std::string name;
     std::string value;
 };
 
-// The fingerprint by which crashing requests are known: as above, and with the
-// headers, since a crash may come from one of them and a popular read without
-// it must not be shut out in its place. Left out are headers that differ
-// between the copies of one request (Waxwing-*, Idempotency-Key, request and
-// trace ids, Date), or each copy would pass for a new request.
+// Returns the fingerprint by which the quarantine identifies requests: the four
+// parts above and the headers. Headers are included because one of them may
+// cause the crash, and a popular read without that header must not be refused
+// in its place. Headers that differ between the copies of one request
+// (Waxwing-*, Idempotency-Key, request and trace ids, Date) are left out,
+// because otherwise each copy would count as a new request.
 request_fingerprint
 crash_fingerprint_of(const std::string& service, const std::string& method,
                      const std::string& target, const std::string& body,
--- a/include/waxwingvale/decision/history.hpp
+++ b/include/waxwingvale/decision/history.hpp
@@ -12,102 +12,108 @@
 #include <waxwingvale/model/outcome.hpp>
 #include <waxwingvale/model/time.hpp>
 
-// What callers, backend servers, entry instances and the platform record of a
-// run, for the history checker. docs/operations/history-file.md documents the
-// lines that these values are read from.
+// Events that callers, backend servers, entry instances and the discovery
+// platform record during a test run, as input of the history checker.
+// docs/operations/history-file.md documents the lines from which these values
+// are read.
 namespace waxwingvale::decision {
 
-// A caller asks for something for the first time. `request` names the call and
-// is the same on every copy of it; `key` may be empty.
+// A caller sends the first copy of a request. `request` identifies the call
+// and is the same for every copy of it. `key` is the idempotency key and may be
+// empty.
 struct request_invoked {
     std::string request;
     std::string key;
     request_nature nature = request_nature::retriable;
 };
 
-// One copy of a request came to its end at the caller.
+// One copy of a request ended at the caller, with or without an answer.
 struct request_answered {
     std::string request;
     std::string key;
-    unsigned status = 0;                // 0: no whole answer came
-    std::optional<run_outcome> outcome; // as the answer stated it
+    unsigned status = 0;                // 0: no complete answer arrived
+    std::optional<run_outcome> outcome; // as stated by the answer
     std::string body_digest;            // empty: not recorded
     std::string via;                    // entry instance; empty: not recorded
     std::optional<time_point> sent;     // when this copy was sent
 };
 
-// A backend server starts to run a request.
+// A backend server started to run a request.
 struct run_began {
-    backend_life backend;
+    backend_process backend;
     std::string request;
     std::string key;
 };
 
-// How a run ended at the backend server.
-enum class run_ending {
-    answered,  // the whole answer was handed over to be sent
-    cancelled, // the connection was closed by the other side
-    expired,   // its deadline passed
-    failed     // answered with an error of its own
+// How a run at a backend server ended.
+enum class run_end_reason {
+    answered,  // the complete answer was passed on for sending
+    cancelled, // the peer closed the connection
+    expired,   // the deadline of the request passed
+    failed     // the backend server answered with an error
 };
 
 struct run_ended {
-    backend_life backend;
+    backend_process backend;
     std::string request;
     std::string key;
-    run_ending how = run_ending::answered;
+    run_end_reason reason = run_end_reason::answered;
     std::string body_digest; // of the answer; empty: not recorded
 };
 
-// A backend server was asked for work after it had said that it leaves.
+// A backend server refused a request because it had announced that it is
+// leaving.
 struct work_refused {
-    backend_life backend;
+    backend_process backend;
 };
 
+// A backend server announced that it is leaving.
 struct backend_leaving {
-    backend_life backend;
+    backend_process backend;
 };
 
-// A backend server has ended in an orderly way.
+// A backend server stopped in an orderly way.
 struct backend_stopped {
-    backend_life backend;
+    backend_process backend;
 };
 
-// A backend server was probed: its health or load was asked for.
+// A backend server received a probe of its health or load.
 struct backend_probed {
-    backend_life backend;
+    backend_process backend;
 };
 
-// An entry instance was told to stop, and has ended, by that or otherwise.
+// An entry instance was told to stop.
 struct entry_stopping {
-    std::string who;
+    std::string entry_instance;
 };
 
+// The process of an entry instance ended, after entry_stopping or otherwise.
 struct entry_stopped {
-    std::string who;
+    std::string entry_instance;
 };
 
-// The platform got a new configuration that is valid.
+// The discovery platform received a new valid configuration.
 struct revision_published {
     std::uint64_t revision = 0;
 };
 
-// From now on an entry instance acts by that configuration.
+// An entry instance put a configuration revision in force.
 struct revision_in_force {
-    std::string who;
+    std::string entry_instance;
     std::uint64_t revision = 0;
 };
 
-using history_event_kind =
+using history_event_payload =
     std::variant<request_invoked, request_answered, run_began, run_ended,
                  work_refused, backend_leaving, backend_stopped, backend_probed,
                  entry_stopping, entry_stopped, revision_published,
                  revision_in_force>;
 
-// An event and when it was recorded, by one clock for the whole history.
+// An event and the time at which it was recorded. One clock is used for the
+// whole history.
 struct history_event {
     time_point at{};
-    history_event_kind what;
+    history_event_payload payload;
 };
 
 using history = std::vector<history_event>;
--- a/include/waxwingvale/decision/key_answer.hpp
+++ b/include/waxwingvale/decision/key_answer.hpp
@@ -8,7 +8,7 @@
 
 namespace waxwingvale::decision {
 
-// One header line of a remembered answer.
+// One header of a stored answer.
 struct answer_header {
     std::string name;
     std::string value;
@@ -18,7 +18,8 @@
     }
 };
 
-// A backend server's whole answer, as every copy of its request gets it.
+// The complete answer of a backend server, as every copy of its request
+// receives it.
 struct whole_answer {
     unsigned status = 0;
     std::vector<answer_header> headers;
@@ -32,7 +33,8 @@
 
 using answer_ptr = std::shared_ptr<const whole_answer>;
 
-// The memory that an answer takes, in bytes, for the limit of a key store.
+// Returns the memory that an answer takes, in bytes, as counted against
+// key_limits::answer_bytes.
 std::size_t size_in_memory(const whole_answer& answer);
 
 } // namespace waxwingvale::decision
--- a/include/waxwingvale/decision/key_decision.hpp
+++ b/include/waxwingvale/decision/key_decision.hpp
@@ -13,57 +13,63 @@
 
 namespace waxwingvale::decision {
 
-// Names one copy of a request that waits for its answer; the caller of the key
-// store chooses it and never uses it twice.
+// Identifies one copy of a request. The user of the key store chooses the id
+// and never reuses it.
 using waiter_id = std::uint64_t;
 
-// Run it now; report the end by on_finished with this attempt number.
+// Run the request now, and report the end of this attempt to
+// key_store::on_finished.
 struct run_here {
     std::uint64_t attempt = 0;
 };
 
-// An attempt is under way, or the holder is being asked: this copy is parked
-// and settled later.
+// An attempt or a hand-over request is in progress. This copy is parked and
+// settled later.
 struct join_attempt {};
 
-// The request ran; give this copy the same whole answer.
+// The request ran; send this copy the same answer.
 struct replay_answer {
     answer_ptr answer;
 };
 
-// The request ran, but its answer was too large to be kept.
+// The request ran, but its answer was too large to be stored.
 struct report_ran {};
 
-// Send the message to `request.to`; this copy is parked and settled later.
-// When that member cannot be reached, call on_hand_over_failed at once.
+// Send the message to `request.to`. This copy is parked and settled later.
+// If that member cannot be reached, call key_store::on_hand_over_failed at
+// once.
 struct ask_peer {
     hand_over_request request;
 };
 
-// May have run. Without come_back_in nobody will ever be able to tell.
+// The request may have run. Without retry_after its outcome can never be
+// determined.
 struct report_unknown {
-    std::optional<duration> come_back_in;
+    std::optional<duration> retry_after;
 };
 
-// The attempt that this copy had joined ended as provably not run; a resend
-// may run it.
+// The attempt that this copy had joined provably did not run. A resend may run
+// the request.
 struct report_not_run {
-    duration come_back_in{};
+    duration retry_after{};
 };
 
-// The key was used with another request; this one never ran (422).
+// The key was used with a different request before. This request did not run
+// (status 422).
 struct refuse_mismatch {};
 
-// No room to remember one more key; this request never ran.
+// The key store has no room for another key or answer. This request did not
+// run.
 struct refuse_full {
-    duration come_back_in{};
+    duration retry_after{};
 };
 
-// Older than what the holder remembers: it may have run, and never will.
+// The key is older than the records of its holder. The request may have run
+// before and will not run again.
 struct refuse_expired {};
 
-// A key whose holder nobody can tell, or one issued in the future. It never
-// ran; make a key with this prefix.
+// The key names no holder, or its issue time lies in the future. The request
+// did not run; the caller may send a key that begins with this prefix.
 struct refuse_key_form {
     std::string prefix_to_use;
 };
@@ -73,21 +79,21 @@
                  report_unknown, report_not_run, refuse_mismatch, refuse_full,
                  refuse_expired, refuse_key_form>;
 
-// What an answer with this decision states about the request. Not for run_here,
-// join_attempt and ask_peer, whose outcome is still open (unknown).
+// Returns the outcome that an answer with this decision states. For run_here,
+// join_attempt and ask_peer, whose outcome is still open, it is `unknown`.
 run_outcome outcome_of(const key_decision& decision);
 
-// The standard lower-case word for a decision, as in metrics and histories.
+// Returns the lower-case name of a decision in metrics and histories.
 const char* name_of(const key_decision& decision);
 
-// A parked copy and what becomes of it: any decision but join_attempt and
-// ask_peer.
+// The decision for a parked copy: any but join_attempt and ask_peer.
 struct settled_waiter {
     waiter_id waiter = 0;
     key_decision decision;
 };
 
-// What follows from an event: parked copies to settle, messages to send.
+// What the user of a key store must do after an event: settle parked copies
+// and send messages.
 struct key_effects {
     std::vector<settled_waiter> settled;
     std::vector<key_message> messages;
--- a/include/waxwingvale/decision/late_wakeup.hpp
+++ b/include/waxwingvale/decision/late_wakeup.hpp
@@ -4,22 +4,22 @@
 
 namespace waxwingvale::decision {
 
-// Notices that this process was stopped for long. A process that wakes up
-// late still holds its old view of the fleet: it would send work to backend
-// servers that left meanwhile, on slots whose leases are over. Every task
-// asks before it acts, and a timer asks often, so that a gap between two
-// askings can only mean that nothing of the process ran.
+// Detects that this process was suspended for a long time. After a suspension
+// its view of the fleet is stale: it would send requests to backend servers
+// that have left meanwhile and use slots whose leases have expired. Every task
+// calls detect() before it acts, and a timer calls it often, so that a long gap
+// between two calls can only mean that the whole process was not running.
 class late_wakeup {
 public:
     explicit late_wakeup(duration limit) : limit_(limit) {}
 
-    // True once for each stop that lasted longer than the limit.
-    bool noticed(time_point now);
+    // Returns true once for each gap between calls that exceeds the limit.
+    bool detect(time_point now);
 
 private:
     duration limit_;
     time_point last_{};
-    bool begun_ = false;
+    bool started_ = false;
 };
 
 } // namespace waxwingvale::decision
--- a/include/waxwingvale/decision/probe_budget.hpp
+++ b/include/waxwingvale/decision/probe_budget.hpp
@@ -9,62 +9,65 @@
 namespace waxwingvale::decision {
 
 struct probe_limits {
-    double rate = 0.1; // probes a second to one backend server, from all
-                       // entry instances together; 0 turns probing off
-    // The longest that two entry instances may both take themselves for the
-    // owner of a backend server while they can reach each other.
-    duration settle = std::chrono::seconds(5);
+    // Probes per second to one backend server from all entry instances
+    // together; 0 turns probing off.
+    double rate = 0.1;
+    // The longest time for which two entry instances that can reach each other
+    // may both consider themselves the owner of a backend server.
+    duration settling_time = std::chrono::seconds(5);
 };
 
-// Grants probes within the budget that the operators set, which holds for all
-// entry instances together, also while ownership moves.
+// Limits the probes to each backend server to the configured rate. The limit
+// holds for all entry instances together, also while ownership changes.
 //
-// Only the owner of a backend server probes it. A new owner starts with
-// nothing saved and waits `settle` longer than one whole period, so that its
-// first probe comes a period after the former owner's last. An owner that
-// reaches only a share of the entry instances (a partition, with perhaps
-// another owner on the other side) uses that share of the rate.
+// Only the owner of a backend server probes it. A new owner starts without
+// tokens and waits for `settling_time` and one full period, so that its first
+// probe comes at least a period after the last probe of the previous owner. An
+// owner that reaches only a fraction of the entry instances (in a network
+// partition, possibly with another owner on the other side) uses that fraction
+// of the rate.
 class probe_budget {
 public:
     explicit probe_budget(const probe_limits& limits);
 
-    void on_owned(const std::string& backend_server, time_point now);
-    void on_lost(const std::string& backend_server);
+    void on_ownership_gained(const std::string& backend_server, time_point now);
+    void on_ownership_lost(const std::string& backend_server);
 
-    // The share (0 to 1) of all known entry instances, this one included, that
-    // was heard lately and agrees with us. What counts is the smallest share
-    // of the last `settle`.
-    void on_share(double share, time_point now);
+    // Sets the share (0 to 1) of all known entry instances, this one included,
+    // that were heard from recently and agree with this instance. The smallest
+    // share of the last `settling_time` is in effect.
+    void set_reachable_share(double share, time_point now);
 
-    // Whether a probe may be sent now; it then counts as sent.
+    // Returns whether a probe may be sent now. If so, it counts as sent.
     bool try_probe(const std::string& backend_server, time_point now);
 
-    // When try_probe would grant the next one if nothing changes.
-    // time_point::max() for never.
-    time_point next_probe(const std::string& backend_server,
-                          time_point now) const;
+    // Returns when try_probe will allow the next probe if nothing changes, or
+    // time_point::max() if it never will.
+    time_point next_probe_time(const std::string& backend_server,
+                               time_point now) const;
 
-    // A newer configuration's rate; nothing saved counts for it.
+    // Applies the rate of a newer configuration. If the rate differs, tokens
+    // collected so far are discarded.
     void change_rate(double rate, time_point now);
 
 private:
     struct bucket {
         double tokens = 0;
-        time_point counted{}; // up to when tokens were paid in
+        time_point refilled_until{}; // `tokens` are counted up to this time
     };
 
-    // A share that counts from a moment until the next one does.
+    // A share that is in effect from `from` until the next step.
     struct share_step {
         time_point from{};
         double share = 0;
     };
 
     double share_at(time_point now) const;
-    double paid_in(const bucket& of, time_point now) const;
+    double tokens_at(const bucket& state, time_point now) const;
 
     probe_limits limits_;
     std::map<std::string, bucket> buckets_;
-    std::vector<share_step> shares_{{}}; // rising, by when they count
+    std::vector<share_step> shares_{{}}; // ascending in time and share
 };
 
 } // namespace waxwingvale::decision
--- a/include/waxwingvale/decision/recent_passes.hpp
+++ b/include/waxwingvale/decision/recent_answers.hpp
@@ -9,11 +9,12 @@
 
 namespace waxwingvale::decision {
 
-// Fingerprints of requests that ran to their end a short while ago, bounded in
-// number and age: remembered for one to two periods, and not beyond the limit.
-class recent_passes {
+// Fingerprints of requests that got a complete answer a short while ago. Each
+// is kept for one to two periods. At most `limit` fingerprints are added in one
+// period; more are ignored.
+class recent_answers {
 public:
-    recent_passes(duration period, std::size_t limit);
+    recent_answers(duration period, std::size_t limit);
 
     void add(request_fingerprint fingerprint, time_point now);
     bool contains(request_fingerprint fingerprint, time_point now);
@@ -21,13 +22,13 @@
 private:
     using generation = std::unordered_set<std::uint64_t>;
 
-    void turn_over(time_point now);
+    void rotate(time_point now);
 
     duration period_;
     std::size_t limit_;
-    time_point began_{}; // of the present generation
-    generation present_;
-    generation former_;
+    time_point current_since_{};
+    generation current_;
+    generation previous_;
 };
 
 } // namespace waxwingvale::decision
--- a/src/decision/fingerprint.cpp
+++ b/src/decision/fingerprint.cpp
@@ -48,7 +48,7 @@
     return text;
 }
 
-constexpr std::string_view own_prefix = "waxwing-";
+constexpr std::string_view waxwing_prefix = "waxwing-";
 constexpr std::string_view trace_prefix = "x-b3-";
 
 bool starts_with(const std::string& text, std::string_view prefix) {
@@ -64,7 +64,7 @@
                                              "baggage",
                                              "b3",
                                              "date"};
-    return names.count(name) != 0 || starts_with(name, own_prefix) ||
+    return names.count(name) != 0 || starts_with(name, waxwing_prefix) ||
            starts_with(name, trace_prefix);
 }
 
@@ -81,16 +81,17 @@
 crash_fingerprint_of(const std::string& service, const std::string& method,
                      const std::string& target, const std::string& body,
                      const std::vector<fingerprint_header>& headers) {
-    // Sorted, since a proxy or a client library may reorder them.
-    std::multimap<std::string, std::string> counted;
+    // Headers are sorted by name because a proxy or a client library may
+    // reorder them.
+    std::multimap<std::string, std::string> included;
     for (const auto& header : headers) {
         auto name = lower_case(header.name);
         if (!differs_between_copies(name)) {
-            counted.emplace(std::move(name), header.value);
+            included.emplace(std::move(name), header.value);
         }
     }
     auto text = joined_parts(service, method, target, body);
-    for (const auto& [name, value] : counted) {
+    for (const auto& [name, value] : included) {
         append_part(text, name);
         append_part(text, value);
     }
--- a/src/decision/history_checker.cpp
+++ b/src/decision/history_checker.cpp
@@ -9,13 +9,13 @@
 namespace waxwingvale::decision {
 namespace {
 
-struct rule_row {
+struct rule_entry {
     const char* name;
     history_rule_check check;
 };
 
 // In the order of history_rule.
-constexpr std::array<rule_row, 10> rules{{
+constexpr std::array<rule_entry, 10> rules{{
     {"answered", check_answered},
     {"own-answer", check_own_answer},
     {"at-most-once", check_at_most_once},
@@ -36,7 +36,8 @@
 
 std::vector<history_violation> check_history(const history& events,
                                              const history_bounds& bounds) {
-    // The processes write files of their own, which are read one by one.
+    // Each process writes its own file, and the files are read one after
+    // another.
     auto sorted = events;
     std::stable_sort(sorted.begin(), sorted.end(),
                      [](const history_event& a, const history_event& b) {
--- a/src/decision/history_rules.hpp
+++ b/src/decision/history_rules.hpp
@@ -8,7 +8,7 @@
 
 using violations = std::vector<history_violation>;
 
-// Every rule gets the events sorted by time and adds what it finds.
+// A rule gets the events sorted by time and appends the violations it finds.
 using history_rule_check = void (*)(const history&, const history_bounds&,
                                     violations&);
 
@@ -29,11 +29,11 @@
 void check_newest_everywhere(const history&, const history_bounds&,
                              violations&);
 
-// Calls `visit` with the time and value of every event of one kind, in order.
+// Calls `visit` with the time and payload of every event of one kind, in order.
 template <typename Kind, typename Visit>
 void for_each_event(const history& events, Visit visit) {
     for (const auto& event : events) {
-        if (const auto* found = std::get_if<Kind>(&event.what)) {
+        if (const auto* found = std::get_if<Kind>(&event.payload)) {
             visit(event.at, *found);
         }
     }
--- a/src/decision/request_key.cpp
+++ b/src/decision/idempotency_key.cpp
@@ -1,4 +1,4 @@
-#include <waxwingvale/decision/request_key.hpp>
+#include <waxwingvale/decision/idempotency_key.hpp>
 
 #include <algorithm>
 #include <cctype>
@@ -23,8 +23,9 @@
     }
 }
 
-// A whole number without sign or leading zeros, so that every number has one
-// spelling and two spellings of a key cannot mean the same.
+// Parses a whole number without sign or leading zeros. Every number has exactly
+// one accepted spelling, so that two spellings of a key cannot mean the same
+// key.
 std::optional<std::uint64_t> parse_number(std::string_view text) {
     if (text.empty() || (text.size() > 1 && text.front() == '0')) {
         return std::nullopt;
@@ -38,8 +39,8 @@
     return number;
 }
 
-// Reads `<incarnation>[-<issued>]` into the key; false when malformed.
-bool read_life(std::string_view text, request_key& key) {
+// Parses `<incarnation>[-<issued>]` into the key. Returns false if malformed.
+bool parse_incarnation(std::string_view text, idempotency_key& key) {
     const auto parts = split(text, '-');
     const auto incarnation = parse_number(parts[0]);
     if (!incarnation || parts.size() > 2) {
@@ -54,26 +55,26 @@
     return issued.has_value();
 }
 
-bool printable(const std::string& text) {
+bool is_printable(const std::string& text) {
     return std::all_of(text.begin(), text.end(),
                        [](unsigned char c) { return c > ' ' && c < 0x7f; });
 }
 
 } // namespace
 
-std::optional<request_key> parse_request_key(const std::string& text) {
-    if (text.size() > max_request_key_bytes || !printable(text)) {
+std::optional<idempotency_key> parse_idempotency_key(const std::string& text) {
+    if (text.size() > max_idempotency_key_bytes || !is_printable(text)) {
         return std::nullopt;
     }
     const auto parts = split(text, '.');
     if (parts.size() != key_parts || parts[0].empty() || parts[2].empty()) {
         return std::nullopt;
     }
-    request_key key;
+    idempotency_key key;
     key.holder.name = std::string(parts[0]);
     key.caller = std::string(parts[2]);
     const auto counter = parse_number(parts[3]);
-    if (!counter || !read_life(parts[1], key)) {
+    if (!counter || !parse_incarnation(parts[1], key)) {
         return std::nullopt;
     }
     key.counter = *counter;
@@ -87,7 +88,7 @@
            std::to_string(issued.count());
 }
 
-std::string join_key(const std::string& prefix, const std::string& plain) {
+std::string prefixed_key(const std::string& prefix, const std::string& plain) {
     constexpr char digits[] = "0123456789abcdef";
     std::string escaped;
     for (const unsigned char c : plain) {
--- a/src/decision/key_record.hpp
+++ b/src/decision/key_record.hpp
@@ -13,58 +13,65 @@
 
 namespace waxwingvale::decision {
 
-// Where a key stands in one store. The first four hold the right to run the
-// key, or know what became of it; the last three do not hold it.
+// The state of a key in one store. In the first four states this member has the
+// right to run the request or knows the outcome; in the last three it does not.
 enum class key_state : std::uint8_t {
-    idle,     // ours to run; never started
-    running,  // an attempt of ours is in flight
-    answered, // ran; the answer is known
-    unknown,  // our attempt may have run
-    asking,   // another member is being asked
-    asked,    // another member was asked, without an end
-    moved     // handed over to another member
+    idle,          // this member may run it; it did not run
+    running,       // an attempt of this member is in flight
+    answered,      // it ran; the answer is known
+    unknown,       // an attempt of this member may have run it
+    requesting,    // a hand-over request to another member is in progress
+    request_ended, // a hand-over request ended without a grant
+    moved          // handed over to another member
 };
 
-// A member's asking, which a grant is tied to.
-struct key_asker {
+// The sender of a hand-over request, and the id of the request. A grant is
+// valid only for this pair.
+struct hand_over_requester {
     member_id member;
-    std::uint64_t ask_id = 0;
+    std::uint64_t hand_over_id = 0;
 
-    friend bool operator==(const key_asker& a, const key_asker& b) {
-        return std::tie(a.member, a.ask_id) == std::tie(b.member, b.ask_id);
+    friend bool operator==(const hand_over_requester& a,
+                           const hand_over_requester& b) {
+        return std::tie(a.member, a.hand_over_id) ==
+               std::tie(b.member, b.hand_over_id);
     }
 };
 
-// The part of a record that only keys in flight or handed over need; most keys
-// have none, which keeps a remembered key small.
-struct key_links {
-    std::vector<waiter_id> waiters;      // parked copies here
-    std::vector<key_asker> askers;       // members told "in flight"
-    std::optional<key_asker> granted_to; // the tombstone
-    member_id peer;                      // who is asked
-    std::uint64_t ask_id = 0;            // 0: not asked yet
-    unsigned redirects = 0;              // of the present asking
+// The part of a record that only keys in flight or handed over need. Most keys
+// have none, which keeps their records small.
+struct key_record_details {
+    std::vector<waiter_id> waiters; // copies parked at this member
+    // Members that were told "in flight".
+    std::vector<hand_over_requester> requesters;
+    // The tombstone: to whom the right to run the request was handed over.
+    std::optional<hand_over_requester> granted_to;
+    member_id peer; // the member that is asked for a hand-over
+    std::uint64_t hand_over_id =
+        0;                  // of the hand-over request; 0: none sent yet
+    unsigned redirects = 0; // followed in the current hand-over request
 };
 
-// What is remembered of one key.
+// The record of one key.
 struct key_record {
     key_state state = key_state::idle;
-    bool own = true; // the key names this member
+    bool own = true; // whether the key names this member
     request_fingerprint fingerprint;
-    std::uint64_t attempt = 0; // the latest attempt's number
-    std::int64_t second = 0;   // from when its lifetime counts
+    std::uint64_t attempt = 0; // id of the latest attempt
+    std::int64_t lifetime_start_s = 0;
     answer_ptr answer;
-    std::unique_ptr<key_links> links;
+    std::unique_ptr<key_record_details> details;
 
-    key_links& linked() {
-        if (!links) {
-            links = std::make_unique<key_links>();
+    key_record_details& ensure_details() {
+        if (!details) {
+            details = std::make_unique<key_record_details>();
         }
-        return *links;
+        return *details;
     }
-    bool handed_over() const { return links && links->granted_to; }
-    bool waiting() const {
-        return state == key_state::running || state == key_state::asking;
+    // Whether this member has handed the key over and not received it back.
+    bool handed_over() const { return details && details->granted_to; }
+    bool in_flight() const {
+        return state == key_state::running || state == key_state::requesting;
     }
 };
 
--- a/src/decision/key_store.cpp
+++ b/src/decision/key_store.cpp
@@ -56,19 +56,19 @@
 }
 
 void key_store::tick(time_point now) {
-    protocol_->memory().expire(now);
+    protocol_->table().expire(now);
 }
 
 void key_store::change_limits(const key_limits& limits) {
-    protocol_->memory().change_limits(limits);
+    protocol_->table().change_limits(limits);
 }
 
 std::string key_store::prefix(time_point now) const {
-    return key_prefix(self(), protocol_->memory().age(now));
+    return key_prefix(self(), protocol_->table().age(now));
 }
 
-bool key_store::asking(const std::string& key) const {
-    return protocol_->asking(key);
+bool key_store::awaits_hand_over(const std::string& key) const {
+    return protocol_->awaits_hand_over(key);
 }
 
 const member_id& key_store::self() const {
@@ -76,11 +76,11 @@
 }
 
 std::size_t key_store::size() const {
-    return protocol_->memory().size();
+    return protocol_->table().size();
 }
 
 std::size_t key_store::answer_bytes() const {
-    return protocol_->memory().answer_bytes();
+    return protocol_->table().answer_bytes();
 }
 
 } // namespace waxwingvale::decision
--- a/src/decision/late_wakeup.cpp
+++ b/src/decision/late_wakeup.cpp
@@ -2,9 +2,9 @@
 
 namespace waxwingvale::decision {
 
-bool late_wakeup::noticed(time_point now) {
-    const bool late = begun_ && now - last_ > limit_;
-    begun_ = true;
+bool late_wakeup::detect(time_point now) {
+    const bool late = started_ && now - last_ > limit_;
+    started_ = true;
     last_ = now;
     return late;
 }
--- a/src/decision/quarantine.cpp
+++ b/src/decision/quarantine.cpp
@@ -8,10 +8,10 @@
 quarantine::quarantine(std::string self, const quarantine_limits& limits)
     : self_(std::move(self)),
       limits_(limits),
-      passed_(limits.trusted_for, limits.fingerprints) {}
+      recent_answers_(limits.trust_period, limits.max_fingerprints) {}
 
-bool quarantine::expired(const entry& of, time_point now) const {
-    return now - of.since >= limits_.kept_for;
+bool quarantine::expired(const entry& known, time_point now) const {
+    return now - known.changed_at >= limits_.retention;
 }
 
 quarantine::entry* quarantine::find(request_fingerprint fingerprint,
@@ -32,154 +32,157 @@
     if (known->state == suspicion_state::quarantined) {
         return refuse_quarantined{};
     }
-    // One trial at a time, by one entry instance: two trials of a request that
-    // does kill would cost one backend server more. The tester may be gone
-    // itself, so after a while whoever gets a copy may try it.
-    const auto reserved_until = known->since + limits_.reserved_for;
+    // Only one trial at a time, by one entry instance: a second trial of a
+    // request that does crash its backend server would cost one more server.
+    // The tester may have gone down itself, so after the reservation any entry
+    // instance that receives a copy may run the trial.
+    const auto reserved_until = known->changed_at + limits_.trial_reservation;
     const bool reserved = known->tester != self_ && now < reserved_until;
-    if (known->trial || reserved) {
-        const auto left = std::max(reserved_until - now, limits_.come_back_in);
+    if (known->trial_running || reserved) {
+        const auto left = std::max(reserved_until - now, limits_.retry_after);
         return refuse_suspect{known->tester, left};
     }
-    known->trial = true;
-    known->trial_on = backend_life{};
-    return run_alone{known->died.backend_server};
+    known->trial_running = true;
+    known->trial_backend = backend_process{};
+    return run_alone{known->last_crashed.backend_server};
 }
 
-std::vector<suspicion_word>
-quarantine::on_backend_died(const backend_life& died,
+std::vector<suspicion_update>
+quarantine::on_backend_died(const backend_process& died,
                             const std::vector<request_fingerprint>& in_flight,
                             time_point now) {
-    std::vector<suspicion_word> words;
+    std::vector<suspicion_update> updates;
     for (const auto& fingerprint : in_flight) {
         auto* known = find(fingerprint, now);
-        if (known == nullptr && passed_.contains(fingerprint, now)) {
+        if (known == nullptr && recent_answers_.contains(fingerprint, now)) {
             continue;
         }
-        const bool alone =
-            known != nullptr && known->trial && known->trial_on == died;
-        if (alone) {
-            known->trial = false;
+        const bool during_trial = known != nullptr && known->trial_running &&
+                                  known->trial_backend == died;
+        if (during_trial) {
+            known->trial_running = false;
         }
-        entry death;
-        death.tester = self_;
-        death.died = died;
-        death.since = now;
-        add_death(fingerprint, death, alone);
+        entry crash;
+        crash.tester = self_;
+        crash.last_crashed = died;
+        crash.changed_at = now;
+        record_crash(fingerprint, crash, during_trial);
         if (auto* after = find(fingerprint, now)) {
-            words.push_back(word_for(fingerprint, *after, now));
+            updates.push_back(update_for(fingerprint, *after, now));
         }
     }
-    return words;
+    return updates;
 }
 
-void quarantine::add_death(request_fingerprint fingerprint, const entry& death,
-                           bool alone) {
-    auto* known = find(fingerprint, death.since);
+void quarantine::record_crash(request_fingerprint fingerprint,
+                              const entry& crash, bool during_trial) {
+    auto* known = find(fingerprint, crash.changed_at);
     if (known == nullptr || known->state == suspicion_state::cleared) {
-        if (known == nullptr && !make_room(death.since)) {
+        if (known == nullptr && !make_room(crash.changed_at)) {
             return;
         }
-        entries_[fingerprint] = death;
+        entries_[fingerprint] = crash;
         return;
     }
-    // Several entry instances tell of one death, each in its own words.
-    const bool same_death = !alone && known->died == death.died;
-    if (known->state == suspicion_state::quarantined || same_death) {
+    // Several entry instances may each report the same crash.
+    const bool same_crash =
+        !during_trial && known->last_crashed == crash.last_crashed;
+    if (known->state == suspicion_state::quarantined || same_crash) {
         return;
     }
-    if (alone) {
+    if (during_trial) {
         known->state = suspicion_state::quarantined;
     }
-    known->tester = std::min(known->tester, death.tester);
-    known->died = death.died;
-    known->since = death.since;
+    known->tester = std::min(known->tester, crash.tester);
+    known->last_crashed = crash.last_crashed;
+    known->changed_at = crash.changed_at;
 }
 
-std::optional<suspicion_word>
-quarantine::on_passed(request_fingerprint fingerprint, time_point now) {
-    passed_.add(fingerprint, now);
+std::optional<suspicion_update>
+quarantine::on_answered(request_fingerprint fingerprint, time_point now) {
+    recent_answers_.add(fingerprint, now);
     auto* known = find(fingerprint, now);
     if (known == nullptr || known->state != suspicion_state::suspect) {
         return std::nullopt;
     }
     known->state = suspicion_state::cleared;
-    known->trial = false;
-    known->since = now;
-    return word_for(fingerprint, *known, now);
+    known->trial_running = false;
+    known->changed_at = now;
+    return update_for(fingerprint, *known, now);
 }
 
 void quarantine::on_trial_placed(request_fingerprint fingerprint,
-                                 const backend_life& on) {
+                                 const backend_process& backend) {
     const auto found = entries_.find(fingerprint);
-    if (found != entries_.end() && found->second.trial) {
-        found->second.trial_on = on;
+    if (found != entries_.end() && found->second.trial_running) {
+        found->second.trial_backend = backend;
     }
 }
 
 void quarantine::on_trial_abandoned(request_fingerprint fingerprint) {
     const auto found = entries_.find(fingerprint);
     if (found != entries_.end()) {
-        found->second.trial = false;
+        found->second.trial_running = false;
     }
 }
 
-bool quarantine::merge(const suspicion_word& word, time_point now) {
-    entry heard;
-    heard.state = word.state;
-    heard.tester = word.tester;
-    heard.died = word.died;
-    heard.since = now - word.age;
-    if (expired(heard, now)) {
+bool quarantine::merge(const suspicion_update& update, time_point now) {
+    entry received;
+    received.state = update.state;
+    received.tester = update.tester;
+    received.last_crashed = update.last_crashed;
+    received.changed_at = now - update.age;
+    if (expired(received, now)) {
         return false;
     }
-    auto* known = find(word.fingerprint, now);
+    auto* known = find(update.fingerprint, now);
     if (known == nullptr) {
-        const bool mere_suspicion = word.state == suspicion_state::suspect;
-        if (mere_suspicion && passed_.contains(word.fingerprint, now)) {
+        const bool only_suspect = update.state == suspicion_state::suspect;
+        if (only_suspect && recent_answers_.contains(update.fingerprint, now)) {
             return false;
         }
         if (!make_room(now)) {
             return false;
         }
-        entries_[word.fingerprint] = heard;
+        entries_[update.fingerprint] = received;
         return true;
     }
     if (known->state == suspicion_state::quarantined) {
         return false;
     }
-    if (word.state == suspicion_state::quarantined ||
-        (word.state == suspicion_state::cleared &&
+    if (update.state == suspicion_state::quarantined ||
+        (update.state == suspicion_state::cleared &&
          known->state == suspicion_state::suspect &&
-         heard.since >= known->since)) {
-        *known = heard;
+         received.changed_at >= known->changed_at)) {
+        *known = received;
         return true;
     }
-    if (word.state == suspicion_state::cleared || known->died == heard.died) {
+    if (update.state == suspicion_state::cleared ||
+        known->last_crashed == received.last_crashed) {
         return false;
     }
     if (known->state == suspicion_state::cleared &&
-        heard.since < known->since) {
+        received.changed_at < known->changed_at) {
         return false;
     }
-    add_death(word.fingerprint, heard, false);
+    record_crash(update.fingerprint, received, false);
     return true;
 }
 
 bool quarantine::make_room(time_point now) {
-    if (entries_.size() < limits_.fingerprints) {
+    if (entries_.size() < limits_.max_fingerprints) {
         return true;
     }
     tick(now);
-    if (entries_.size() < limits_.fingerprints) {
+    if (entries_.size() < limits_.max_fingerprints) {
         return true;
     }
-    // What is proved stays; the oldest suspicion goes.
+    // Quarantined fingerprints stay; the oldest other entry is removed.
     auto oldest = entries_.end();
     for (auto at = entries_.begin(); at != entries_.end(); ++at) {
         if (at->second.state != suspicion_state::quarantined &&
             (oldest == entries_.end() ||
-             at->second.since < oldest->second.since)) {
+             at->second.changed_at < oldest->second.changed_at)) {
             oldest = at;
         }
     }
@@ -190,25 +193,26 @@
     return true;
 }
 
-suspicion_word quarantine::word_for(request_fingerprint fingerprint,
-                                    const entry& of, time_point now) const {
-    suspicion_word word;
-    word.fingerprint = fingerprint;
-    word.state = of.state;
-    word.tester = of.tester;
-    word.died = of.died;
-    word.age = now - of.since;
-    return word;
+suspicion_update quarantine::update_for(request_fingerprint fingerprint,
+                                        const entry& known,
+                                        time_point now) const {
+    suspicion_update update;
+    update.fingerprint = fingerprint;
+    update.state = known.state;
+    update.tester = known.tester;
+    update.last_crashed = known.last_crashed;
+    update.age = now - known.changed_at;
+    return update;
 }
 
-std::vector<suspicion_word> quarantine::words(time_point now) const {
-    std::vector<suspicion_word> words;
+std::vector<suspicion_update> quarantine::snapshot(time_point now) const {
+    std::vector<suspicion_update> updates;
     for (const auto& [fingerprint, known] : entries_) {
         if (!expired(known, now)) {
-            words.push_back(word_for(fingerprint, known, now));
+            updates.push_back(update_for(fingerprint, known, now));
         }
     }
-    return words;
+    return updates;
 }
 
 std::vector<std::uint64_t> quarantine::quarantined(time_point now) const {
--- a/src/entry/call_attempts.cpp
+++ b/src/entry/call_attempts.cpp
@@ -116,7 +116,7 @@
     bool operator()(const decision::refuse_suspect& refusal) const {
         own_answer answer;
         answer.reason = "suspected-of-crashing";
-        answer.come_back_in = refusal.come_back_in;
+        answer.come_back_in = refusal.retry_after;
         desk.finish(call.id, answer);
         return false;
     }
--- a/src/entry/call_desk.cpp
+++ b/src/entry/call_desk.cpp
@@ -359,11 +359,11 @@
     }
     void operator()(const decision::report_unknown& report) const {
         own(status::gateway_timeout, run_outcome::unknown, "outcome-unknown",
-            report.come_back_in);
+            report.retry_after);
     }
     void operator()(const decision::report_not_run& report) const {
         own(status::service_unavailable, run_outcome::not_run,
-            "attempt-not-run", report.come_back_in);
+            "attempt-not-run", report.retry_after);
     }
     void operator()(const decision::refuse_mismatch&) const {
         own(status::unprocessable, run_outcome::not_run,
@@ -371,7 +371,7 @@
     }
     void operator()(const decision::refuse_full& full) const {
         own(status::service_unavailable, run_outcome::not_run, "keys-full",
-            full.come_back_in);
+            full.retry_after);
     }
     void operator()(const decision::refuse_expired&) const {
         own(status::gone, run_outcome::unknown, "key-expired");
--- a/src/entry/crash_guard.cpp
+++ b/src/entry/crash_guard.cpp
@@ -30,7 +30,7 @@
         // run a crashing request once more.
         if (up && watching()) {
             hub_.send(peer, suspicion_kind,
-                      encode(quarantine_.words(timers_.now())));
+                      encode(quarantine_.snapshot(timers_.now())));
         }
     });
     forgetting_ = timers_.every(
@@ -85,7 +85,7 @@
 }
 
 void crash_guard::on_passed(decision::request_fingerprint of) {
-    const auto word = quarantine_.on_passed(of, timers_.now());
+    const auto word = quarantine_.on_answered(of, timers_.now());
     if (word) {
         tell_all({*word});
     }
@@ -116,7 +116,8 @@
     }
 }
 
-void crash_guard::tell_all(const std::vector<decision::suspicion_word>& words) {
+void crash_guard::tell_all(
+    const std::vector<decision::suspicion_update>& words) {
     if (words.empty()) {
         return;
     }
--- a/src/entry/crash_guard.hpp
+++ b/src/entry/crash_guard.hpp
@@ -53,7 +53,7 @@
     };
 
     void take(const std::vector<std::uint8_t>& bytes);
-    void tell_all(const std::vector<decision::suspicion_word>& words);
+    void tell_all(const std::vector<decision::suspicion_update>& words);
 
     io::message_hub& hub_;
     kernel::timer_service& timers_;
--- a/src/entry/key_desk.cpp
+++ b/src/entry/key_desk.cpp
@@ -86,7 +86,7 @@
     if (found == asks_.end()) {
         return;
     }
-    if (!store_.asking(reply.key)) {
+    if (!store_.awaits_hand_over(reply.key)) {
         asks_.erase(found);
     } else if (reply.kind == decision::hand_over_kind::in_flight &&
                reply.from == found->second.request.to) {
@@ -130,7 +130,7 @@
         return;
     }
     const auto request = found->second.request;
-    if (found->second.in_flight && store_.asking(key)) {
+    if (found->second.in_flight && store_.awaits_hand_over(key)) {
         send(request);
         return;
     }
--- a/src/entry/key_message_codec.cpp
+++ b/src/entry/key_message_codec.cpp
@@ -56,7 +56,7 @@
             {"to", write(message.to)},
             {"key", message.key},
             {"fingerprint", message.fingerprint.value},
-            {"ask_id", message.ask_id}};
+            {"ask_id", message.hand_over_id}};
 }
 
 json write(const decision::hand_over_reply& message) {
@@ -64,7 +64,7 @@
                     {"from", write(message.from)},
                     {"to", write(message.to)},
                     {"key", message.key},
-                    {"ask_id", message.ask_id},
+                    {"ask_id", message.hand_over_id},
                     {"kind", decision::to_string(message.kind)}};
     if (message.answer) {
         written["answer"] = write(*message.answer);
@@ -105,7 +105,7 @@
     reply.from = read_member(from.at("from"));
     reply.to = read_member(from.at("to"));
     reply.key = from.at("key").get<std::string>();
-    reply.ask_id = io::read_number<std::uint64_t>(from.at("ask_id"));
+    reply.hand_over_id = io::read_number<std::uint64_t>(from.at("ask_id"));
     reply.kind = read_kind(from);
     if (from.contains("answer")) {
         reply.answer = read_answer(from.at("answer"));
--- a/src/entry/own_requests.cpp
+++ b/src/entry/own_requests.cpp
@@ -6,7 +6,7 @@
 #include <strings.h>
 #include <utility>
 
-#include <waxwingvale/decision/request_key.hpp>
+#include <waxwingvale/decision/idempotency_key.hpp>
 
 namespace waxwingvale::entry {
 
@@ -37,10 +37,10 @@
 // it does.
 std::string named_key(const io::http_request& request, const std::string& key) {
     const auto* prefix = io::find_header(request.headers, header::key_prefix);
-    if (prefix == nullptr || decision::parse_request_key(key)) {
+    if (prefix == nullptr || decision::parse_idempotency_key(key)) {
         return key;
     }
-    return decision::join_key(*prefix, key);
+    return decision::prefixed_key(*prefix, key);
 }
 
 result<void> read_headers(const io::http_request& request, caller_call& into) {
--- a/src/entry/prober.cpp
+++ b/src/entry/prober.cpp
@@ -83,14 +83,14 @@
         const auto known = probes.owned.find(server.name);
         const bool is_new = known == probes.owned.end();
         if (is_new) {
-            probes.budget.on_owned(server.name, now);
+            probes.budget.on_ownership_gained(server.name, now);
         }
         owned[server.name] = {server,
                               is_new ? time_point() : known->second.last};
     }
     for (const auto& known : probes.owned) {
         if (owned.count(known.first) == 0) {
-            probes.budget.on_lost(known.first);
+            probes.budget.on_ownership_lost(known.first);
         }
     }
     probes.owned = std::move(owned);
@@ -109,7 +109,7 @@
     const auto share =
         members == 0 ? 0. : std::min(1., heard / static_cast<double>(members));
     for (auto& entry : services_) {
-        entry.second.budget.on_share(share, now);
+        entry.second.budget.set_reachable_share(share, now);
     }
 }
 
--- a/src/entry/suspicion_codec.cpp
+++ b/src/entry/suspicion_codec.cpp
@@ -11,20 +11,20 @@
 namespace {
 
 using decision::suspicion_state;
-using decision::suspicion_word;
+using decision::suspicion_update;
 using nlohmann::json;
 
-json write(const suspicion_word& word) {
+json write(const suspicion_update& word) {
     return {{"fingerprint", word.fingerprint.value},
             {"state", static_cast<unsigned>(word.state)},
             {"tester", word.tester},
-            {"backend_server", word.died.backend_server},
-            {"incarnation", word.died.incarnation},
+            {"backend_server", word.last_crashed.backend_server},
+            {"incarnation", word.last_crashed.incarnation},
             {"age_us", word.age.count()}};
 }
 
-suspicion_word read(const json& from) {
-    suspicion_word word;
+suspicion_update read(const json& from) {
+    suspicion_update word;
     word.fingerprint.value =
         io::read_number<std::uint64_t>(from.at("fingerprint"));
     const auto state = io::read_number<unsigned>(from.at("state"));
@@ -33,8 +33,9 @@
     word.state = state > last ? suspicion_state::suspect
                               : static_cast<suspicion_state>(state);
     word.tester = from.at("tester").get<std::string>();
-    word.died.backend_server = from.at("backend_server").get<std::string>();
-    word.died.incarnation =
+    word.last_crashed.backend_server =
+        from.at("backend_server").get<std::string>();
+    word.last_crashed.incarnation =
         io::read_number<std::uint64_t>(from.at("incarnation"));
     word.age = io::read_wait(from.at("age_us"));
     return word;
@@ -42,7 +43,7 @@
 
 } // namespace
 
-std::vector<std::uint8_t> encode(const std::vector<suspicion_word>& words) {
+std::vector<std::uint8_t> encode(const std::vector<suspicion_update>& words) {
     json list = json::array();
     for (const auto& word : words) {
         list.push_back(write(word));
@@ -50,10 +51,10 @@
     return json::to_cbor(json({{"words", std::move(list)}}));
 }
 
-result<std::vector<suspicion_word>>
+result<std::vector<suspicion_update>>
 decode_suspicions(const std::vector<std::uint8_t>& bytes) {
     try {
-        std::vector<suspicion_word> words;
+        std::vector<suspicion_update> words;
         const auto message = io::parse_cbor(bytes.data(), bytes.size());
         for (const auto& item : message.at("words")) {
             words.push_back(read(item));
--- a/src/entry/suspicion_codec.hpp
+++ b/src/entry/suspicion_codec.hpp
@@ -13,10 +13,10 @@
 constexpr const char* suspicion_kind = "suspicion";
 
 std::vector<std::uint8_t>
-encode(const std::vector<decision::suspicion_word>& words);
+encode(const std::vector<decision::suspicion_update>& words);
 
 // Fails with malformed on bytes that are no such words.
-result<std::vector<decision::suspicion_word>>
+result<std::vector<decision::suspicion_update>>
 decode_suspicions(const std::vector<std::uint8_t>& bytes);
 
 } // namespace waxwingvale::entry
--- a/src/io/history_file.cpp
+++ b/src/io/history_file.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 namespace history_events = waxwingvale::decision;
-using event_kind = history_events::history_event_kind;
+using event_kind = history_events::history_event_payload;
 
 constexpr const char* step = "read history";
 
@@ -61,13 +61,13 @@
     return std::nullopt;
 }
 
-history_events::run_ending ending_of(const json& line) {
-    using history_events::run_ending;
-    static const std::map<std::string, run_ending> endings{
-        {"answered", run_ending::answered},
-        {"cancelled", run_ending::cancelled},
-        {"expired", run_ending::expired},
-        {"failed", run_ending::failed}};
+history_events::run_end_reason ending_of(const json& line) {
+    using history_events::run_end_reason;
+    static const std::map<std::string, run_end_reason> endings{
+        {"answered", run_end_reason::answered},
+        {"cancelled", run_end_reason::cancelled},
+        {"expired", run_end_reason::expired},
+        {"failed", run_end_reason::failed}};
     const auto found = endings.find(field<std::string>(line, "how"));
     if (found == endings.end()) {
         throw bad_field("how is none of answered, cancelled, expired, failed");
@@ -75,7 +75,7 @@
     return found->second;
 }
 
-history_events::backend_life backend_of(const json& line) {
+history_events::backend_process backend_of(const json& line) {
     return {field<std::string>(line, "backend_server"),
             field_or<std::uint64_t>(line, "incarnation", 0)};
 }
--- a/src/steer/address_desk.cpp
+++ b/src/steer/address_desk.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
-#include <waxwingvale/decision/request_key.hpp>
+#include <waxwingvale/decision/idempotency_key.hpp>
 #include <waxwingvale/decision/stable_hash.hpp>
 #include <waxwingvale/decision/steering.hpp>
 
--- a/src/waxwing_bench/guard_benchmark.cpp
+++ b/src/waxwing_bench/guard_benchmark.cpp
@@ -110,9 +110,9 @@
 
 measurement measure_probes(const bench_size& size) {
     probe_budget budget({});
-    budget.on_share(1, start);
+    budget.set_reachable_share(1, start);
     for (std::size_t at = 0; at < backend_servers; ++at) {
-        budget.on_owned("backend-" + std::to_string(at), start);
+        budget.on_ownership_gained("backend-" + std::to_string(at), start);
     }
     std::size_t granted = 0;
     return ns_for(size, "probe decision among 740 servers", [&] {
--- a/src/waxwing_bench/key_benchmark.cpp
+++ b/src/waxwing_bench/key_benchmark.cpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <unordered_map>
 
+#include <waxwingvale/decision/idempotency_key.hpp>
 #include <waxwingvale/decision/key_store.hpp>
-#include <waxwingvale/decision/request_key.hpp>
 
 namespace waxwingvale::bench {
 namespace {
--- a/test/entry/caller_call_test.cpp
+++ b/test/entry/caller_call_test.cpp
@@ -1,6 +1,6 @@
 #include <catch2/catch.hpp>
 
-#include <waxwingvale/decision/request_key.hpp>
+#include <waxwingvale/decision/idempotency_key.hpp>
 
 #include "entry/own_protocol.hpp"
 
@@ -67,7 +67,7 @@
                     .value()
                     .key;
     };
-    const auto named = decision::parse_request_key(key_of("order 12"));
+    const auto named = decision::parse_idempotency_key(key_of("order 12"));
     REQUIRE(named);
     CHECK(named->holder == member_id{"sea-1", 7});
     CHECK(key_of("order 12") != key_of("order_20 12"));
--- a/test/entry/codec_test.cpp
+++ b/test/entry/codec_test.cpp
@@ -91,7 +91,7 @@
     reply.from = {"sea-1", 5};
     reply.to = {"pdx-1", 6};
     reply.key = "sea-1.5.phone.1";
-    reply.ask_id = 9;
+    reply.hand_over_id = 9;
     reply.kind = decision::hand_over_kind::answered;
     reply.answer = answer;
     const auto taken = entry::decode_key_message(entry::encode(reply));
@@ -100,21 +100,21 @@
     CHECK(read.kind == decision::hand_over_kind::answered);
     CHECK(*read.answer == *answer);
     CHECK(read.from == reply.from);
-    CHECK(read.ask_id == 9);
+    CHECK(read.hand_over_id == 9);
 }
 
 TEST_CASE("word about a crashing request keeps its age") {
-    decision::suspicion_word word;
+    decision::suspicion_update word;
     word.fingerprint.value = 77;
     word.state = decision::suspicion_state::quarantined;
     word.tester = "sea-1";
-    word.died = {"slate-1", 3};
+    word.last_crashed = {"slate-1", 3};
     word.age = 12ms;
     const auto taken = entry::decode_suspicions(entry::encode({word}));
     REQUIRE(taken.has_value());
     REQUIRE(taken.value().size() == 1);
     CHECK(taken.value().front().age == 12ms);
-    CHECK(taken.value().front().died == word.died);
+    CHECK(taken.value().front().last_crashed == word.last_crashed);
     CHECK(taken.value().front().state == word.state);
 }
 
--- a/test/fuzz/message_targets.cpp
+++ b/test/fuzz/message_targets.cpp
@@ -98,7 +98,7 @@
     ask.from = {"sea-1", 100};
     ask.to = {"pdx-1", 90};
     ask.key = "pdx-1.90-3.phone.1";
-    ask.ask_id = 5;
+    ask.hand_over_id = 5;
     decision::hand_over_reply reply;
     reply.from = ask.to;
     reply.to = ask.from;
@@ -153,10 +153,10 @@
 }
 
 std::vector<std::string> suspicion_seeds() {
-    decision::suspicion_word word;
+    decision::suspicion_update word;
     word.fingerprint.value = 77;
     word.tester = "sea-1";
-    word.died = {"desk-1", 3};
+    word.last_crashed = {"desk-1", 3};
     word.age = 1s;
     return {to_text(entry::encode({word, word}))};
 }
--- a/test/fuzz/request_targets.cpp
+++ b/test/fuzz/request_targets.cpp
@@ -3,7 +3,7 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 #include <waxwingvale/administration/admin_api.hpp>
-#include <waxwingvale/decision/request_key.hpp>
+#include <waxwingvale/decision/idempotency_key.hpp>
 
 #include "administration/sample_snapshot.hpp"
 #include "entry/own_protocol.hpp"
@@ -61,14 +61,14 @@
 }
 
 void run_request_key(const std::string& input) {
-    const auto parsed = decision::parse_request_key(input);
+    const auto parsed = decision::parse_idempotency_key(input);
     if (parsed) {
-        must_hold(input.size() <= decision::max_request_key_bytes,
+        must_hold(input.size() <= decision::max_idempotency_key_bytes,
                   "a long key is refused");
         must_hold(!parsed->holder.name.empty(), "a key names its holder");
     }
-    const auto joined = decision::join_key("sea-1.100-3", input);
-    const auto named = decision::parse_request_key(joined);
+    const auto joined = decision::prefixed_key("sea-1.100-3", input);
+    const auto named = decision::parse_idempotency_key(joined);
     must_hold(!named || named->holder == member_id{"sea-1", 100},
               "a plain key cannot name another holder");
 }
--- a/test/history/history_check_test.cpp
+++ b/test/history/history_check_test.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("Several files are checked as one history") {
+TEST_CASE("Events from several files are checked as one history") {
     const auto checked =
         check_files({data_name("probe-budget"), data_name("no-reversion")}, {});
     REQUIRE(checked.has_value());
@@ -26,12 +26,12 @@
                       "revision 5 to 4") != std::string::npos);
 }
 
-TEST_CASE("A file that is not there is an error that names it") {
+TEST_CASE("The error for a missing file names the file") {
     const auto checked = check_files({"nowhere.jsonl"}, {});
     REQUIRE(checked.error().peer == "nowhere.jsonl");
 }
 
-TEST_CASE("A bound that is no number is refused by its option's name") {
+TEST_CASE("The error for a bound that is not a number names its option") {
     const std::map<std::string, docopt::value> given{
         {"--probe-rate", docopt::value(std::string("often"))},
         {"--no-new-work-ms", docopt::value(std::string("3000"))},
--- a/test/history/history_checker_test.cpp
+++ b/test/history/history_checker_test.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST_CASE("A history that keeps every promise passes") {
+TEST_CASE("A history without violations passes") {
     const auto file = data_file("good");
     const auto found = check_history(file.events, {});
     INFO(report(found));
@@ -37,32 +37,31 @@
     REQUIRE(file.skipped.at("end") == 1);
 }
 
-// A checker that finds nothing is only worth something when it finds what is
-// there. Each history breaks one promise, some of them in two ways, and keeps
-// all others.
-TEST_CASE("Each rule rejects the history that was doctored for it") {
+// Guards against a checker that misses violations. Each of these histories
+// violates one rule, some of them in two ways, and no other rule.
+TEST_CASE("Each rule detects the history that violates it") {
     const auto rule = GENERATE(range(0, 10));
-    const auto broken = static_cast<history_rule>(rule);
-    const auto found = check_history(data_file(to_string(broken)).events, {});
-    INFO(to_string(broken));
+    const auto violated = static_cast<history_rule>(rule);
+    const auto found = check_history(data_file(to_string(violated)).events, {});
+    INFO(to_string(violated));
     INFO(report(found));
     REQUIRE_FALSE(found.empty());
     for (const auto& violation : found) {
-        REQUIRE(violation.rule == broken);
+        REQUIRE(violation.rule == violated);
     }
     const std::set<history_rule> in_two_ways{
         history_rule::answered, history_rule::truly_not_run,
         history_rule::no_new_work, history_rule::backend_not_cut};
-    REQUIRE(found.size() == (in_two_ways.count(broken) == 0 ? 1U : 2U));
+    REQUIRE(found.size() == (in_two_ways.count(violated) == 0 ? 1U : 2U));
 }
 
-TEST_CASE("The order of the events in the files does not matter") {
+TEST_CASE("The order of the events does not matter") {
     auto events = data_file("good").events;
     std::reverse(events.begin(), events.end());
     REQUIRE(check_history(events, {}).empty());
 }
 
-TEST_CASE("The bounds are the caller's to set") {
+TEST_CASE("Rules apply the bounds that are passed in") {
     history_bounds strict;
     strict.newest_everywhere = std::chrono::milliseconds(100);
     const auto found = check_history(data_file("good").events, strict);
@@ -71,9 +70,10 @@
     REQUIRE(found[0].subject == "pdx-1");
 }
 
-// A stand-in writes a line that the reader does not understand. Left out
-// silently, the run would pass unchecked.
-TEST_CASE("A bad line is an error that names line and field") {
+// Guards against an unchecked run: a simulated process may write a line that
+// the reader does not understand. If the reader skipped it silently, violations
+// in that line would go unnoticed.
+TEST_CASE("The error for a malformed line names the line and the field") {
     const auto problem = [](const std::string& line) {
         const auto file = io::parse_history("\n" + line + "\n", "run.jsonl");
         REQUIRE(file.has_error());
@@ -94,8 +94,9 @@
             "outcome is none of ran, not-run, unknown");
 }
 
-// A process is killed while it writes its last line.
-TEST_CASE("A last line that was cut off is skipped and counted") {
+// A process may be killed while it writes its last line. This must not make the
+// rest of its file unusable.
+TEST_CASE("An incomplete last line is skipped and counted") {
     const auto file = io::parse_history(
         R"({"event":"in_force","at_us":1,"who":"sea-1","revision":3})"
         "\n{\"event\":\"in_f",
--- a/test/late_wakeup/late_wakeup_test.cpp
+++ b/test/late_wakeup/late_wakeup_test.cpp
@@ -5,15 +5,15 @@
 using waxwingvale::time_point;
 using waxwingvale::decision::late_wakeup;
 
-TEST_CASE("a process that was stopped notices it once, before it acts") {
-    // The machine freezes an entry instance for two seconds. Without notice
-    // it would hand a booking to a backend server that has left meanwhile.
-    late_wakeup guard(500ms);
+// Guards against requests to backend servers that left while the entry instance
+// was suspended. Here the machine suspends it for two seconds.
+TEST_CASE("A suspension of the process is detected exactly once") {
+    late_wakeup detector(500ms);
     time_point now{};
-    CHECK_FALSE(guard.noticed(now));
+    CHECK_FALSE(detector.detect(now));
     now += 50ms;
-    CHECK_FALSE(guard.noticed(now));
+    CHECK_FALSE(detector.detect(now));
     now += 2s;
-    CHECK(guard.noticed(now));
-    CHECK_FALSE(guard.noticed(now));
+    CHECK(detector.detect(now));
+    CHECK_FALSE(detector.detect(now));
 }
--- a/test/request_keys/fingerprint_test.cpp
+++ b/test/request_keys/fingerprint_test.cpp
@@ -5,24 +5,26 @@
 using waxwingvale::decision::crash_fingerprint_of;
 using waxwingvale::decision::fingerprint_of;
 
-// Two entry instances of different releases must agree, or a quarantined
-// request would run on at one of them. The value is that of
+// Guards against a quarantined request that still runs at another entry
+// instance because that instance has another release and computes another
+// fingerprint. The expected value is the output of
 // printf '1:a1:b1:c1:d' | sha256sum | cut -c1-16
 TEST_CASE("A fingerprint is the same in every process and release") {
     REQUIRE(fingerprint_of("a", "b", "c", "d").value == 0x40b395eaa29be6f5);
 }
 
-TEST_CASE("Parts of a request do not run into one another") {
+TEST_CASE("The same bytes split into other parts give another fingerprint") {
     REQUIRE(fingerprint_of("a", "POST", "/x", "yz") !=
             fingerprint_of("a", "POST", "/xy", "z"));
     REQUIRE(fingerprint_of("a", "POST", "/x", "1:b") !=
             fingerprint_of("a", "POST", "/x1", ":b"));
 }
 
-// One caller's odd header crashes backend servers. Everyone else who asks for
-// the same thing must not be shut out with it, but the same caller's resend,
-// with its new trace id and deadline, must be known again.
-TEST_CASE("A crash is known by its headers, but not by those of one copy") {
+// Guards against two failures when an unusual header of one caller crashes
+// backend servers: callers that send the same request without that header must
+// not be refused, and a resend of the crashing request with a new trace id and
+// deadline must be recognised.
+TEST_CASE("Crash fingerprints include headers except those of single copies") {
     const auto with = [](const std::string& name, const std::string& value) {
         return crash_fingerprint_of("a", "GET", "/x", "",
                                     {{"Accept", "*/*"}, {name, value}});
--- a/test/request_keys/key_fault.cpp
+++ b/test/request_keys/key_fault.cpp
@@ -5,33 +5,34 @@
 
 namespace request_keys {
 
-void key_node::start(time_point now, const key_limits& limits) {
+void model_instance::start(time_point now, const key_limits& limits) {
     started = now;
     store = std::make_unique<key_store>(id, now, limits);
-    last_asked.clear();
+    last_requests.clear();
 }
 
-key_decision key_fault::on_request(key_node& node, const model_request& of,
+key_decision key_fault::on_request(model_instance& instance,
+                                   const model_request& sent,
                                    time_point now) const {
-    return node.store->on_request(of.key, of.body, of.waiter, now);
+    return instance.store->on_request(sent.key, sent.body, sent.waiter, now);
 }
 
-key_effects key_fault::on_hand_over_request(key_node& node,
-                                            const hand_over_request& of,
+key_effects key_fault::on_hand_over_request(model_instance& instance,
+                                            const hand_over_request& received,
                                             time_point now) const {
-    return node.store->on_hand_over_request(of, now);
+    return instance.store->on_hand_over_request(received, now);
 }
 
-key_effects key_fault::on_hand_over_reply(key_node& node,
-                                          const hand_over_reply& of,
+key_effects key_fault::on_hand_over_reply(model_instance& instance,
+                                          const hand_over_reply& received,
                                           time_point now) const {
-    return node.store->on_hand_over_reply(of, now);
+    return instance.store->on_hand_over_reply(received, now);
 }
 
-key_effects key_fault::on_hand_over_failed(key_node& node,
+key_effects key_fault::on_hand_over_failed(model_instance& instance,
                                            const std::string& key, bool gone,
                                            time_point now) const {
-    return node.store->on_hand_over_failed(key, gone, now);
+    return instance.store->on_hand_over_failed(key, gone, now);
 }
 
 std::uint64_t key_fault::next_incarnation(std::uint64_t last) const {
@@ -44,7 +45,7 @@
     limits.keys = 3;
     limits.max_answer_bytes = 200;
     limits.answer_bytes = 600;
-    limits.max_ahead = std::chrono::seconds(5);
+    limits.max_issued_ahead = std::chrono::seconds(5);
     return limits;
 }
 
--- a/test/request_keys/key_fault.hpp
+++ b/test/request_keys/key_fault.hpp
@@ -9,28 +9,29 @@
 
 namespace request_keys {
 
-// One entry instance of the model.
-struct key_node {
+// An entry instance of the simulation.
+struct model_instance {
     waxwingvale::member_id id;
     waxwingvale::time_point started{};
     std::unique_ptr<waxwingvale::decision::key_store> store;
-    // The latest asking, by key.
-    std::map<std::string, waxwingvale::decision::hand_over_request> last_asked;
+    // The latest hand-over request, by key.
+    std::map<std::string, waxwingvale::decision::hand_over_request>
+        last_requests;
 
     void start(waxwingvale::time_point now,
                const waxwingvale::decision::key_limits& limits);
 };
 
-// A request as the model hands it to a store.
+// A request that the simulation passes to a store.
 struct model_request {
     std::string key;
     waxwingvale::decision::request_fingerprint body;
     waxwingvale::decision::waiter_id waiter = 0;
 };
 
-// What a deliberately broken variant does otherwise. The model goes through
-// this object, so that the product has no such switches; the base class breaks
-// nothing.
+// The calls from the simulation to a store. A derived class overrides some of
+// them to act as a deliberately broken store, so that the production code needs
+// no switches for this. The base class passes all calls on unchanged.
 class key_fault {
 public:
     using decision = waxwingvale::decision::key_decision;
@@ -41,20 +42,23 @@
 
     virtual ~key_fault() = default;
 
-    virtual decision on_request(key_node& node, const model_request& of,
+    virtual decision on_request(model_instance& instance,
+                                const model_request& sent,
                                 waxwingvale::time_point now) const;
-    virtual effects on_hand_over_request(key_node& node, const request& of,
+    virtual effects on_hand_over_request(model_instance& instance,
+                                         const request& received,
                                          waxwingvale::time_point now) const;
-    virtual effects on_hand_over_reply(key_node& node, const reply& of,
+    virtual effects on_hand_over_reply(model_instance& instance,
+                                       const reply& received,
                                        waxwingvale::time_point now) const;
-    virtual effects on_hand_over_failed(key_node& node, const std::string& key,
-                                        bool gone,
+    virtual effects on_hand_over_failed(model_instance& instance,
+                                        const std::string& key, bool gone,
                                         waxwingvale::time_point now) const;
     virtual std::uint64_t next_incarnation(std::uint64_t last) const;
-    // Whether an attempt that fell silent is simply sent again.
+    // Whether an attempt without an answer is sent again.
     virtual bool resends_unknown() const { return false; }
 
-    // Small enough for every limit to be met within a schedule.
+    // Limits small enough for every one to be reached within a schedule.
     static limits small_limits();
 };
 
