--- a/include/waxwingvale/decision/attempt_budget.hpp
+++ b/include/waxwingvale/decision/attempt_budget.hpp
@@ -2,20 +2,22 @@
 
 namespace waxwingvale::decision {
 
-// Bounds extra attempts to a fraction of first attempts: each first attempt
-// pays in the fraction, each extra one takes a whole token out. Load that is
-// already too high is so never multiplied by more than 1 + fraction.
+// Token bucket that limits extra attempts (retries or hedges) to a fraction of
+// first attempts: each first attempt adds `fraction` tokens, each extra attempt
+// takes one token. During an overload the extra attempts therefore multiply the
+// load by no more than 1 + fraction.
 class attempt_budget {
 public:
-    // `burst` is the most tokens saved up in quiet times; it begins full.
+    // `burst` is the largest number of tokens held. The bucket starts full.
     attempt_budget(double fraction, double burst);
 
     void on_first_attempt();
-    // A fraction of 0 turns extra attempts off, saved-up tokens or not.
+    // False while the fraction is 0, even if tokens are left: a fraction of 0
+    // turns extra attempts off.
     bool can_spend() const { return fraction_ > 0 && tokens_ >= 1.0; }
-    // Takes a token; false when there is none.
+    // Takes a token if can_spend(); returns whether it did.
     bool try_spend();
-    // An extra attempt that was paid for and did not take place.
+    // Returns the token of an extra attempt that was not made after all.
     void give_back();
     void change_fraction(double fraction) { fraction_ = fraction; }
     double tokens() const { return tokens_; }
--- a/include/waxwingvale/decision/attempt_outcome.hpp
+++ b/include/waxwingvale/decision/attempt_outcome.hpp
@@ -4,17 +4,19 @@
 
 namespace waxwingvale::decision {
 
-// What was seen of one attempt at a backend server, when it is over.
+// What the instance observed of one attempt at a backend server by its end.
 struct attempt_facts {
-    bool sent_any_byte = false;        // the connection took a first byte
-    bool whole_answer = false;         // an answer came, to its last byte
-    bool refused_before_start = false; // the backend server says it never began
-    bool cancelled_before_start = false; // it confirms it dropped it unstarted
+    bool sent_any_byte = false; // at least one byte was written
+    bool whole_answer = false;  // the answer arrived up to its last byte
+    // The backend server reported that it refused the request before starting.
+    bool refused_before_start = false;
+    // The backend server confirmed that it cancelled the request unstarted.
+    bool cancelled_before_start = false;
 };
 
-// "Not run" only with proof: no byte was sent, or the backend server itself
-// said that it never started. Everything else without a whole answer is
-// unknown, however quickly the connection broke.
+// Returns not_run only with proof: no byte was sent, or the backend server
+// itself reported that it never started the request. Every other attempt
+// without a complete answer is unknown, however soon the connection broke.
 run_outcome outcome_of_attempt(const attempt_facts& facts);
 
 } // namespace waxwingvale::decision
--- a/include/waxwingvale/decision/hedge_delay.hpp
+++ b/include/waxwingvale/decision/hedge_delay.hpp
@@ -8,16 +8,16 @@
 
 namespace waxwingvale::decision {
 
-// Recent latencies of one request class, for the delay after which a read is
-// hedged. Buckets grow by a quarter octave; old samples fade by halving, so
-// that it follows a load that shifts.
+// Histogram of the recent latencies of one request class, from which the delay
+// before a hedge is taken. Bucket bounds grow by a quarter octave. All counts
+// are halved from time to time, so that the histogram follows a changing load.
 class hedge_delay {
 public:
     void on_latency(duration latency);
 
-    // The latency that `quantile` (0 to 1) of recent answers stayed under, to
-    // the upper edge of its bucket; `otherwise` while too few were seen.
-    duration at_quantile(double quantile, duration otherwise) const;
+    // The given quantile (0 to 1) of recent latencies, rounded up to the upper
+    // bound of its bucket; `fallback` while there are too few samples.
+    duration at_quantile(double quantile, duration fallback) const;
 
 private:
     static constexpr std::size_t bucket_count = 128;
--- a/include/waxwingvale/decision/repeat_budget.hpp
+++ b/include/waxwingvale/decision/repeat_budget.hpp
@@ -7,29 +7,30 @@
 
 namespace waxwingvale::decision {
 
-// How many repeated attempts a service may get: in every window as long as
-// `window`, a fraction of its requests and some more.
+// How many repeated attempts a service may get: within any period of length
+// `window`, at most `fraction` times its requests plus `extra`.
 struct repeat_limits {
     duration window{};
     double fraction = 0;
     double extra = 0;
 };
 
-// Counts the requests for a service and its repeated attempts, retries and
-// hedges alike, over a sliding window. Kept where the service's slots are
-// owned: counted on each instance alone, the sum of many small budgets would
-// be far above the one that the deployment allows.
+// Counts the requests for a service and its repeated attempts (retries and
+// hedges) over a sliding window. The owners of the service's slots keep the
+// count: if every instance counted for itself, the sum of many small budgets
+// would far exceed the limit set for the deployment.
 class repeat_budget {
 public:
     explicit repeat_budget(const repeat_limits& limits) : limits_(limits) {}
 
     void change_limits(const repeat_limits& limits) { limits_ = limits; }
     void on_request(time_point now);
-    // Takes one repeated attempt from the budget, unless it is used up.
+    // Counts one repeated attempt if the budget allows it; returns whether it
+    // did.
     bool try_spend(time_point now);
 
 private:
-    // What was counted within one part of the window.
+    // Counts of one section of the window.
     struct part {
         time_point from{};
         double requests = 0;
--- a/include/waxwingvale/decision/scheduler_actions.hpp
+++ b/include/waxwingvale/decision/scheduler_actions.hpp
@@ -8,48 +8,52 @@
 #include <waxwingvale/decision/scheduler_events.hpp>
 #include <waxwingvale/model/time.hpp>
 
-// What a service_scheduler wants done. Peers are member names, without role.
+// The actions that a service_scheduler returns. Peers are given by member name,
+// whatever their role.
 namespace waxwingvale::decision {
 
-// Why a request was refused; in every case it was not run.
+// Why a request was refused. A refused request was not run.
 enum class refusal_reason {
     no_backend_server, // all are leaving, dead or excluded
-    queue_full,        // its class has as many waiting as the file allows
-    too_late,          // it would complete past its deadline
-    stale_view,        // must not run twice, and the view is not fresh
-    no_spare_slot,     // a hedge, and no slot is spare
-    retry_budget       // the service has had its share of repeated attempts
+    queue_full,        // the configured queue limit of its class is reached
+    too_late,          // it would complete after its deadline
+    stale_view,        // it must not run twice, and the view may be stale
+    no_spare_slot,     // it may use a spare slot only, and there is none
+    retry_budget       // the service has used up its repeated attempts
 };
 
 // The lower-case word for a reason, as it appears in metrics.
 const char* to_string(refusal_reason reason);
 
-// Send the request to that backend server now. With from_peer the slot is
-// another owner's; the scheduler itself gives it back when it finished.
+// Send the request to the given backend server now. If from_peer is set, the
+// slot is leased from that peer; the scheduler returns it by itself when the
+// request finishes.
 struct start_request {
     request_id request = 0;
     std::string backend_server;
-    std::string from_peer; // empty: an own slot
+    std::string from_peer; // empty: the slot is not leased from a peer
     grant_id grant = 0;
-    // After which its answer is slow to come, as far as is known of how long
-    // it takes there; zero: nothing is.
+    // Time after the start from which the answer counts as slow, given the
+    // expected service time on this server; zero: unknown.
     duration slow_after{};
 };
 
-// Answer "not run" now; the caller may come back after that time.
+// Answer "not run" now. The caller may send the request again after
+// come_back_in.
 struct refuse_request {
     request_id request = 0;
     refusal_reason reason = refusal_reason::too_late;
     duration come_back_in{};
-    std::string declined_by; // the owner that had no slot; empty: this one
+    // The owner that declined to grant a slot; empty: refused by this instance.
+    std::string declined_by;
 };
 
-// The deadline passed while the request waited: answer "not run" now.
+// The deadline passed while the request was queued: answer "not run" now.
 struct expire_request {
     request_id request = 0;
 };
 
-// To a peer: slots_asked.
+// Ask a peer for slots. It receives slots_asked.
 struct ask_slots {
     std::string peer;
     std::vector<waiting_request> waiting;
@@ -58,7 +62,7 @@
     bool wants_word = false;
 };
 
-// To a peer: ask_answered.
+// Answer a peer that asked for slots. It receives ask_answered.
 struct answer_ask {
     std::string peer;
     unsigned idle = 0;
@@ -66,7 +70,7 @@
     std::vector<declined_request> declined;
 };
 
-// To a peer: grant_received.
+// Grant a slot to a peer. It receives grant_received.
 struct give_grant {
     std::string peer;
     grant_id grant = 0;
@@ -76,14 +80,14 @@
     duration slow_after{};
 };
 
-// To a peer: grant_returned.
+// Return a granted slot to its owner. The owner receives grant_returned.
 struct return_grant {
     std::string peer;
     grant_id grant = 0;
     std::optional<grant_use> use;
 };
 
-// Send time_passed at that moment; replaces an earlier wish.
+// Send time_passed at the given time. Replaces any earlier wake_at.
 struct wake_at {
     time_point when{};
 };
--- a/include/waxwingvale/decision/scheduler_events.hpp
+++ b/include/waxwingvale/decision/scheduler_events.hpp
@@ -14,125 +14,133 @@
 #include <waxwingvale/model/member.hpp>
 #include <waxwingvale/model/time.hpp>
 
-// What a service_scheduler is told. Peers are member names, without role.
+// The events that a service_scheduler handles. Peers are given by member name,
+// whatever their role.
 namespace waxwingvale::decision {
 
-// A request's number within one entry instance; free again once it finished.
+// Number of a request within one entry instance. It may be reused once the
+// request has finished.
 using request_id = std::uint64_t;
 
-// A grant's number, chosen by the owner that gives it; unique over the
-// owner's incarnations.
+// Number of a grant, chosen by the owner that gives it. Unique across all
+// incarnations of that owner.
 using grant_id = std::uint64_t;
 
 // How one attempt on a backend server ended.
 enum class attempt_verdict {
-    answered,        // a whole answer, whatever it says of the request
-    failed,          // an answer that blames the backend server (5xx)
-    shed,            // refused before starting
+    answered,        // a complete answer other than a server error
+    failed,          // an answer that reports a server error (5xx)
+    shed,            // refused by the backend server before starting
     connect_refused, // no connection could be opened
     died,            // the connection broke after the request was sent
     timed_out,       // no answer by the deadline
-    cancelled        // given up by the caller or by us
+    cancelled        // cancelled by the caller or by this instance
 };
 
-// The view changed: configuration, members, owners or beliefs. Whole each
-// time; what it no longer names is forgotten. When its configuration does not
-// name the service itself, what waits is refused and all else stays.
+// The view changed: configuration, members, owners or beliefs. Each event
+// carries the complete view; state of anything it no longer names is dropped.
+// If its configuration does not name the service itself, queued requests are
+// refused and all other state is kept.
 struct view_changed {
     configuration_ptr config;
     std::vector<member> members;
     ownership owners;
     std::vector<backend_belief> beliefs;
-    // False while the view may be old (just started, woken late): requests
-    // that must not run twice then wait until it is fresh.
+    // False while the view may be stale, because the process has just started
+    // or woke up late. Requests that must not run twice are then refused.
     bool fresh = true;
-    // False while it is not known which other instances there are: others may
-    // use the same backend servers.
+    // False while the other instances are unknown, so that instances not in
+    // `members` may use the same backend servers.
     bool introduced = true;
 };
 
-// Whether messages to that peer arrive. Peers never named are out of reach.
+// Whether messages reach the peer. A peer without any such event counts as
+// unreachable.
 struct peer_reachability {
     std::string peer;
     bool reachable = false;
 };
 
-// What a request wants of a slot, wherever it waits.
+// The requirements of a request that matter for choosing its slot, both on the
+// instance where it waits and on the owner that is asked for a slot.
 struct request_needs {
     std::string tenant;
     std::string request_class;
     request_nature nature = request_nature::at_most_once;
-    unsigned priority = 0; // 0 goes first when slots are short
+    unsigned priority = 0; // 0 is the highest
     unsigned attempt = 1;
     std::vector<std::string> excluded; // backend servers not to be used
-    // Only backend servers of these data centres; none: of all.
+    // Data centres whose backend servers may be used; none: all may.
     std::optional<std::vector<std::string>> data_centres{};
-    // True for a suspect of having crashed a backend server: it runs only
-    // where nothing else runs.
+    // True for a request suspected of having crashed a backend server: it runs
+    // only on a server that runs nothing else.
     bool isolated = false;
-    // True for a hedge: it starts now on a slot that nobody waits for, or is
-    // refused.
+    // True for a hedge: it either starts at once on a slot that no queued
+    // request needs, or is refused.
     bool only_if_spare = false;
 };
 
-// A request, or a further attempt of one that finished, wants a slot.
+// A request, or a further attempt of a request, needs a slot.
 struct request_arrived : request_needs {
     request_id request = 0;
     time_point deadline{};
-    // Until then an answer is worth most; none: at any time before the
-    // deadline alike.
+    // The answer has its full value up to this time and less afterwards; none:
+    // the full value up to the deadline.
     std::optional<time_point> target;
 };
 
-// A request that waits at a peer, as the peer tells of it.
+// A request queued at a peer, as the peer describes it.
 struct waiting_request : request_needs {
-    request_id request = 0; // the peer's number
+    request_id request = 0; // as numbered by the peer
     duration time_left{};   // until the deadline
-    std::optional<duration> target_left;
+    std::optional<duration> target_left; // until the target, negative after it
 };
 
-// A started request ended; its slot is free.
+// A started request ended; its slot is free again.
 struct request_finished {
     request_id request = 0;
     attempt_verdict verdict = attempt_verdict::answered;
-    duration service_time{}; // from sent to answered; zero when not answered
-    std::optional<backend_load> load; // as the answer told it
+    duration service_time{}; // from sending to the answer; zero without one
+    std::optional<backend_load> load; // as reported with the answer
     std::size_t answer_bytes = 0;
 };
 
-// The caller went away. A waiting request is dropped without an action; one
-// that was started still ends with request_finished.
+// The caller went away. A queued request is dropped without an action. For a
+// started request, request_finished still follows.
 struct request_cancelled {
     request_id request = 0;
 };
 
-// A peer has requests for which it has no slots.
+// A peer asks for slots for requests that it cannot start itself.
 struct slots_asked {
     std::string peer;
     std::vector<waiting_request> waiting;
     std::vector<request_id> withdrawn;
-    // True: what the peer named before and does not name now waits no longer.
+    // True if `waiting` replaces everything that the peer named before: other
+    // requests of the peer no longer need a slot from this instance.
     bool whole = false;
-    // True: the peer wants an answer although no request of it waits. It did
-    // not get one, or that we own nothing, and asks until we do.
+    // True if the peer expects an answer even with no request queued. The peer
+    // got no answer before, or the answer that this instance is no owner, and
+    // asks again until this instance acts as an owner.
     bool wants_word = false;
 };
 
-// A request that an owner will not find a slot for in time.
+// A request for which an owner will not have a slot in time.
 struct declined_request {
     request_id request = 0;
-    duration come_back_in{}; // when it may be tried again
+    duration come_back_in{}; // time after which it may be sent again
 };
 
-// An owner's answer to an ask that it met with no grant.
+// Answer of a peer that was asked for slots and granted none.
 struct ask_answered {
     std::string peer;
-    unsigned idle = 0;    // free slots it has left
-    bool is_owner = true; // false: it hands out no slots
+    unsigned idle = 0;    // free slots that the peer has left
+    bool is_owner = true; // false: the peer owns no slots of this service
     std::vector<declined_request> declined;
 };
 
-// An owner lets us use one slot for that request, once, until the lease ends.
+// An owner grants one slot for the given request, to be used once and before
+// the lease ends.
 struct grant_received {
     std::string peer;
     grant_id grant = 0;
@@ -150,8 +158,8 @@
     std::size_t answer_bytes = 0;
 };
 
-// A peer no longer needs the slot: its request ended, or, without a use,
-// nothing was started.
+// A peer returned a granted slot: its request ended, or, if `use` is empty,
+// nothing was started on it.
 struct grant_returned {
     std::string peer;
     grant_id grant = 0;
@@ -161,12 +169,12 @@
 // A probe of a backend server ended.
 struct probe_ended {
     std::string backend_server;
-    bool answered = false;              // false: silent, or not reached
-    std::optional<backend_load> load;   // as the answer told it
-    std::optional<duration> cold_for{}; // how much longer it is cold
+    bool answered = false; // false: not reached, or no answer in time
+    std::optional<backend_load> load;   // as reported with the answer
+    std::optional<duration> cold_for{}; // remaining time of its cold start
 };
 
-// Time passed; sent at the moment asked for by wake_at, or whenever.
+// Time passed. Sent at the time given by wake_at; harmless at any other time.
 struct time_passed {};
 
 using scheduler_event =
--- a/include/waxwingvale/decision/service_scheduler.hpp
+++ b/include/waxwingvale/decision/service_scheduler.hpp
@@ -13,38 +13,39 @@
 
 namespace waxwingvale::decision {
 
-// One backend server as the scheduler sees it, for metrics and explain.
+// State of one backend server, for metrics and explain.
 struct slot_report {
     std::string backend_server;
-    bool owned = false;
+    bool owned = false;     // its slots are owned by this instance
     unsigned slots = 0;     // by configuration
-    unsigned usable = 0;    // after cold start, shedding and vetoes
-    unsigned in_flight = 0; // own requests and grants given away
+    unsigned usable = 0;    // less those lost to cold start, shedding, vetoes
+    unsigned in_flight = 0; // requests of this instance and granted slots
     bool straggler = false;
     bool failing = false;
-    double slowness = 1; // service time against the usual
+    double slowness = 1; // ratio of its service time to the usual one
 };
 
 bool operator==(const slot_report& a, const slot_report& b);
 
-// By what a scheduler admits and turns down at the moment.
+// The quantities by which a scheduler currently admits and refuses requests.
 struct scheduler_load {
-    bool owns = false;          // slots of the service are owned here
-    std::size_t queued = 0;     // requests that can be answered in time
-    std::size_t late = 0;       // and those that cannot
-    unsigned working_slots = 0; // of servers that neither fail nor straggle
-    double prompt_slots = 0;    // of those, the ones not slowed down
-    double spare_slots = 0;     // what requests in time leave of them
-    unsigned busy_slots = 0;    // of those that may be used here, lent ones too
-    std::size_t lent = 0;       // grants that peers hold
+    bool owns = false;          // this instance owns slots of the service
+    std::size_t queued = 0;     // queued requests that can meet their target
+    std::size_t late = 0;       // queued requests that cannot
+    unsigned working_slots = 0; // of servers neither failing nor stragglers
+    double prompt_slots = 0;    // those of them on servers not slowed down
+    double spare_slots = 0;     // those that requests in time do not need
+    unsigned busy_slots = 0;    // in use, lent ones included
+    std::size_t lent = 0;       // slots granted to peers
     double arrivals_per_second = 0;
-    std::uint64_t turned_down = 0; // since the start
+    std::uint64_t turned_down = 0; // requests since the start
 };
 
 // Decides, for one service on one entry instance, when and where each request
-// runs: slots owned here are handed out from one queue, late, when one is
-// free; slots of other owners are asked for; without an owner in reach a
-// share of its slots is used. Pure: it is told the time and returns actions.
+// runs. Slots owned by this instance are assigned from one queue, and only when
+// one is free; owners of other slots are asked for them. A share of the slots
+// of unreachable owners is used without asking. Pure: the caller passes the
+// time in and carries out the actions returned.
 class service_scheduler {
 public:
     service_scheduler(std::string service, member_id self,
@@ -55,20 +56,20 @@
     service_scheduler(const service_scheduler&) = delete;
     service_scheduler& operator=(const service_scheduler&) = delete;
 
-    // Takes one event and appends what is to be done. now never goes back;
-    // an earlier one counts as the latest seen.
+    // Handles one event and appends the resulting actions. A `now` earlier than
+    // a previous one is replaced by that one, so that time never goes back.
     void handle(const scheduler_event& event, time_point now,
                 std::vector<scheduler_action>& actions);
 
     std::size_t queued() const;
     std::size_t in_flight() const;
-    // True when nothing waits and a slot may be free, here or with an owner:
-    // only then may a hedge be sent.
+    // Whether no request is queued and a slot may be free, on this instance or
+    // at another owner. A hedge may be sent only then.
     bool has_spare_slot() const;
     std::vector<slot_report> slots() const;
     scheduler_load load(time_point now) const;
-    // Backend servers with slots owned here, of which so little was heard
-    // lately that a probe is worth its while.
+    // Backend servers owned by this instance that have not reported their load
+    // for so long that they should be probed.
     std::vector<std::string> unheard(time_point now) const;
 
 private:
--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -9,61 +9,61 @@
 
 namespace {
 
-// When the file names no typical time and nothing was seen yet.
-constexpr duration unknown_service_time{20000};
+// Used before the first answer if no typical time is configured.
+constexpr duration default_service_time{20000};
 
-// Without any slot there is no rate; then one a second may come back.
-constexpr duration interval_without_slots{1000000};
+// With no slot there is no service rate; one request per second is then told to
+// come back.
+constexpr duration retry_interval_without_slots{1000000};
 
-// Weight of one more answer's size, and how many answers make a service time
-// known.
-constexpr double size_gain = 0.05;
-constexpr unsigned known_after = 20;
+// Weight of one answer in the running mean of answer sizes.
+constexpr double answer_size_gain = 0.05;
+// How many reliable samples are enough to use only these.
+constexpr unsigned min_reliable_samples = 20;
 
-class_record fresh_record(duration prior, double quantile) {
-    const latency_estimator nothing_seen(prior, quantile);
-    return {0, nothing_seen, nothing_seen, 0};
+class_record new_record(duration prior, double quantile) {
+    const latency_estimator without_samples(prior, quantile);
+    return {0, without_samples, without_samples, 0};
 }
 
-// Before an answer was seen. Who promises answers within a target has servers
-// that need a part of it: of the users' twelve classes between a fifth and two
-// fifths. Taken for 20 ms, requests of 100 ms were let in five times as many as
-// could be served, and all got a second copy after 40 ms, by every instance
-// that had just started.
-duration expected_time(const service& of, const request_class& named) {
-    constexpr int part_of_target = 3;
-    if (of.typical_time > duration::zero()) {
-        return of.typical_time;
+// Expected service time of a class before its first answer. Backend servers
+// take a part of the promised target: between a fifth and two fifths in the
+// twelve request classes of known users. When 20 ms was assumed for requests
+// that took 100 ms, every newly started instance admitted five times as many as
+// could be served and sent a second copy of each after 40 ms.
+duration expected_time(const service& config, const request_class& configured) {
+    constexpr int service_times_per_target = 3;
+    if (config.typical_time > duration::zero()) {
+        return config.typical_time;
     }
-    return named.target_latency > duration::zero()
-               ? named.target_latency / part_of_target
-               : unknown_service_time;
+    return configured.target_latency > duration::zero()
+               ? configured.target_latency / service_times_per_target
+               : default_service_time;
 }
 
-// Configurations name some dozens of classes for a service; with routes that
-// come and go all day it is some hundreds, most of which are gone.
-constexpr std::size_t most_classes = 1000;
+// A configuration names some dozens of classes for a service. Where routes are
+// added and removed all day, some hundreds accumulate, most of them obsolete.
+constexpr std::size_t max_classes = 1000;
 
-// The classes that the file names for the service, and those of the routes that
-// lead there.
-std::vector<const request_class*> classes_of(const service& of,
+// The classes configured for the service, and those of routes that lead to it.
+std::vector<const request_class*> classes_of(const service& config,
                                              const route_table* routes) {
-    std::vector<const request_class*> named;
-    for (const request_class& each : of.classes) {
-        named.push_back(&each);
+    std::vector<const request_class*> configured;
+    for (const request_class& each : config.classes) {
+        configured.push_back(&each);
     }
     static const std::vector<route> none;
     for (const route& each : routes != nullptr ? routes->all() : none) {
         const bool leads_here =
             std::any_of(each.targets.begin(), each.targets.end(),
                         [&](const route_target& target) {
-                            return target.service == of.name;
+                            return target.service == config.name;
                         });
         if (leads_here) {
-            named.push_back(&each.kind);
+            configured.push_back(&each.kind);
         }
     }
-    return named;
+    return configured;
 }
 
 } // namespace
@@ -73,30 +73,32 @@
 }
 
 bool class_record::comparable() const {
-    return time.samples() >= known_after;
+    return time.samples() >= min_reliable_samples;
 }
 
 admission::admission(const scheduling_policy& policy)
     : policy_(policy),
-      all_(fresh_record(unknown_service_time, policy.admission_quantile)) {}
+      all_(new_record(default_service_time, policy.admission_quantile)) {}
 
-void admission::configure(const service& of, const route_table* routes) {
-    const auto named = classes_of(of, routes);
-    if (classes_.size() >= most_classes) {
-        forget_all_but(named);
+void admission::configure(const service& config, const route_table* routes) {
+    const auto configured = classes_of(config, routes);
+    if (classes_.size() >= max_classes) {
+        forget_all_but(configured);
     }
-    for (auto& known : classes_) {
-        known.second.queue_limit = 0;
+    for (auto& each : classes_) {
+        each.second.queue_limit = 0;
     }
-    for (const request_class* each : named) {
-        configure_class(of, *each);
+    for (const request_class* each : configured) {
+        configure_class(config, *each);
     }
 }
 
-// Those that are gone would leave no place for new ones.
-void admission::forget_all_but(const std::vector<const request_class*>& named) {
+// Removes the records of obsolete classes, which would leave no room for new
+// classes.
+void admission::forget_all_but(
+    const std::vector<const request_class*>& configured) {
     std::unordered_set<std::string> kept;
-    for (const request_class* each : named) {
+    for (const request_class* each : configured) {
         kept.insert(each->name);
     }
     for (auto it = classes_.begin(); it != classes_.end();) {
@@ -104,32 +106,33 @@
     }
 }
 
-void admission::configure_class(const service& of, const request_class& named) {
+void admission::configure_class(const service& config, const request_class& configured) {
     const bool first = classes_.empty() && all_.rough.samples() == 0;
-    if (classes_.count(named.name) == 0 && classes_.size() < most_classes) {
+    if (classes_.count(configured.name) == 0 && classes_.size() < max_classes) {
         const auto fresh =
-            fresh_record(expected_time(of, named), policy_.admission_quantile);
-        classes_.emplace(named.name, fresh);
+            new_record(expected_time(config, configured), policy_.admission_quantile);
+        classes_.emplace(configured.name, fresh);
         all_ = first ? fresh : all_;
     }
-    if (class_record* record = record_of(named.name)) {
-        record->queue_limit = named.queue_limit;
+    if (class_record* record = record_of(configured.name)) {
+        record->queue_limit = configured.queue_limit;
     }
 }
 
-// Classes are learned of from their answers, too: requests that are routed by
-// host and path name them without any in the service. Until a class has
-// answers of its own, it is taken to be like the others.
+// Returns the record of the class, or null if there are too many classes. A
+// class first seen in an answer gets a new record, since requests routed by
+// host and path belong to classes that the service does not name. Until a class
+// has answers of its own, the estimate over all classes is used for it.
 class_record* admission::record_of(const std::string& request_class) {
     const auto found = classes_.find(request_class);
     if (found != classes_.end()) {
         return &found->second;
     }
-    if (classes_.size() >= most_classes) {
+    if (classes_.size() >= max_classes) {
         return nullptr;
     }
     const auto fresh =
-        fresh_record(all_.known().typical(), policy_.admission_quantile);
+        new_record(all_.known().typical(), policy_.admission_quantile);
     return &classes_.emplace(request_class, fresh).first->second;
 }
 
@@ -139,10 +142,10 @@
 }
 
 void admission::add_service_time(const std::string& request_class,
-                                 duration sample, bool telling) {
+                                 duration sample, bool reliable) {
     const auto add_to = [&](class_record& record) {
         record.rough.add(sample);
-        if (telling) {
+        if (reliable) {
             record.time.add(sample);
         }
     };
@@ -155,9 +158,9 @@
 void admission::add_answer_size(const std::string& request_class,
                                 std::size_t bytes) {
     if (class_record* record = record_of(request_class)) {
-        double& known = record->answer_bytes;
+        double& mean = record->answer_bytes;
         const auto size = static_cast<double>(bytes);
-        known = known == 0 ? size : known + size_gain * (size - known);
+        mean = mean == 0 ? size : mean + answer_size_gain * (size - mean);
     }
 }
 
@@ -179,22 +182,22 @@
 work_forecast admission::forecast(const std::string& request_class,
                                   duration left) const {
     const latency_estimator& time = estimator(request_class);
-    work_forecast made;
-    made.typical_log = time.typical_log();
-    made.log_spread = time.log_spread();
-    made.left_log =
+    work_forecast forecast;
+    forecast.typical_log = time.typical_log();
+    forecast.log_spread = time.log_spread();
+    forecast.left_log =
         std::log(static_cast<double>(std::max(left, duration(1)).count()));
-    return made;
+    return forecast;
 }
 
 time_point admission::in_time_until(const std::string& request_class,
                                     time_point target,
                                     double busy_log_factor) const {
     const latency_estimator& time = estimator(request_class);
-    const double kept =
+    const double service_time_us =
         std::exp(time.typical_log() + busy_log_factor +
                  policy_.in_time_deviations * time.log_spread());
-    return target - duration(static_cast<duration::rep>(kept));
+    return target - duration(static_cast<duration::rep>(service_time_us));
 }
 
 duration admission::typical(const std::string& request_class) const {
@@ -212,9 +215,9 @@
 
 time_point admission::latest_start(const request_arrived& request,
                                    time_point now) const {
-    // Started with only the usual time left, half of the requests would
-    // complete too late and their slots be wasted, so the margin is a high
-    // quantile.
+    // The margin is a high quantile of the service time: with only the typical
+    // time left, half of the requests would complete too late and waste their
+    // slots.
     const duration to_spare =
         request.deadline - estimator(request.request_class).high() - now;
     return now +
@@ -235,8 +238,9 @@
     return duration(static_cast<duration::rep>(requests * time / slots));
 }
 
-// More were refused than can be served within the horizon: the next round
-// begins in front again, its moments between those of the rounds before.
+// Offset of a new round of retry times. When more requests are refused than can
+// be served within the horizon, the times start again from the earliest one.
+// The offset places them between the times of the previous rounds.
 duration admission::next_round_offset(duration interval) {
     constexpr double golden_ratio = 0.6180339887498949;
     ++rounds_;
@@ -249,7 +253,7 @@
 duration admission::next_appointment(duration backlog, double slots,
                                      time_point now) {
     const duration interval =
-        slots <= 0 ? interval_without_slots
+        slots <= 0 ? retry_interval_without_slots
                    : std::max(time_to_serve(1.0, slots), duration(1));
     const time_point earliest = now + backlog + interval;
     appointments_until_ = std::max(appointments_until_ + interval, earliest);
--- a/src/decision/admission.hpp
+++ b/src/decision/admission.hpp
@@ -12,67 +12,71 @@
 
 namespace waxwingvale::decision {
 
-// What the file says of one class, and what its answers showed.
+// Configuration and measurements of one request class. Service times are
+// converted to the usual pace of the backend servers.
 struct class_record {
     std::size_t queue_limit = 0; // 0: none
-    latency_estimator time;      // of work at the usual pace
-    // Of all answers, those of crowded servers and of such whose pace was not
-    // known well among them; serves until enough others are there.
+    // From reliable samples only: the server was not crowded, and its pace was
+    // known.
+    latency_estimator time;
+    // From all samples; used until there are enough reliable ones.
     latency_estimator rough;
-    double answer_bytes = 0;
+    double answer_bytes = 0; // running mean; 0: no answer yet
 
-    // What is known of its time.
+    // The best estimator available.
     const latency_estimator& known() const;
+    // Whether there are enough reliable samples.
     bool comparable() const;
 };
 
-// Estimates when a waiting request would complete, and hands out moments for
-// refused ones to come back, so that the slots can serve them then.
+// Estimates when a queued request would complete. Assigns each refused request
+// a time to be sent again, such that the slots can serve it then.
 class admission {
 public:
     explicit admission(const scheduling_policy& policy);
 
-    // What the file says of the service and, where it has routes, of the
-    // classes that they send there.
-    void configure(const service& of, const route_table* routes);
-    // An answer came; sample is what its work took at the usual pace. Telling:
-    // its server was not crowded and its pace was known.
+    // Applies the configuration of the service and, if there are routes, of the
+    // classes whose routes lead to it.
+    void configure(const service& config, const route_table* routes);
+    // Records the service time of an answer, converted to the usual pace.
+    // `reliable`: its server was not crowded, and its pace was known.
     void add_service_time(const std::string& request_class, duration sample,
-                          bool telling);
+                          bool reliable);
     void add_answer_size(const std::string& request_class, std::size_t bytes);
 
     duration typical(const std::string& request_class) const;
     duration mean_time(const std::string& request_class) const;
     double relative_log(const std::string& request_class,
                         duration sample) const;
-    // Whether enough telling answers of the class were seen to compare others
-    // with them.
+    // Whether the class has enough reliable samples to judge other service
+    // times by them.
     bool comparable(const std::string& request_class) const;
-    // What an answer of the class that crosses between data centres costs, in
-    // parts of its worth.
+    // Loss of sending an answer of the class between data centres, as a share
+    // of the answer's value.
     double crossing_loss(const std::string& request_class) const;
     work_forecast forecast(const std::string& request_class,
                            duration left) const;
-    // The last moment at which servers that are busy, and by that much slower,
-    // still answer within the target.
+    // The latest start at which the answer still meets the target, on servers
+    // that are slower by the given factor because they are busy.
     time_point in_time_until(const std::string& request_class,
                              time_point target, double busy_log_factor) const;
-    // The last moment at which starting such a request is useful.
+    // The latest start at which the request is still worth running.
     time_point latest_start(const request_arrived& request,
                             time_point now) const;
-    // The file's limit for waiting requests of the class; 0 is none.
+    // The configured limit of queued requests of the class; 0: none.
     std::size_t queue_limit(const std::string& request_class) const;
 
-    // How long slots need for that many requests.
+    // How long the given slots take to serve the given number of requests.
     duration time_to_serve(double requests, double slots) const;
 
-    // The next free moment for a refused request, as a delay: one request
-    // for each that the slots serve, the first when the backlog is done.
+    // Time after which a refused request is to be sent again. Successive calls
+    // space the requests at the rate at which the slots serve them, the first
+    // one after the backlog.
     duration next_appointment(duration backlog, double slots, time_point now);
 
 private:
-    void configure_class(const service& of, const request_class& named);
-    void forget_all_but(const std::vector<const request_class*>& named);
+    void configure_class(const service& config, const request_class& configured);
+    void forget_all_but(const std::vector<const request_class*>& configured);
     class_record* record_of(const std::string& request_class);
     const latency_estimator& estimator(const std::string& name) const;
     duration next_round_offset(duration interval);
@@ -81,7 +85,7 @@
     std::unordered_map<std::string, class_record> classes_;
     class_record all_;
     time_point appointments_until_{};
-    std::uint64_t rounds_ = 0; // times the horizon was full
+    std::uint64_t rounds_ = 0; // how often the horizon was reached
 };
 
 } // namespace waxwingvale::decision
--- a/src/decision/arrival_rate.cpp
+++ b/src/decision/arrival_rate.cpp
@@ -7,22 +7,23 @@
 
 namespace {
 
-constexpr double memory_us = 500000;
-// In less time than this a few arrivals say nothing of their rate.
-constexpr double least_time_us = 200000;
+constexpr double time_constant_us = 500000; // of the exponential decay
+// Over a shorter time, a few arrivals give no meaningful rate.
+constexpr double min_observation_us = 200000;
 constexpr double microseconds_per_second = 1e6;
 
 } // namespace
 
 void arrival_rate::add(time_point now, double amount) {
-    at_last_ = decayed(now) + amount * microseconds_per_second / memory_us;
+    at_last_ =
+        decayed(now) + amount * microseconds_per_second / time_constant_us;
     last_ = now;
     first_ = first_.value_or(now);
 }
 
 double arrival_rate::decayed(time_point now) const {
     const auto age = static_cast<double>((now - last_).count());
-    return at_last_ * std::exp(-age / memory_us);
+    return at_last_ * std::exp(-age / time_constant_us);
 }
 
 double arrival_rate::per_second(time_point now) const {
@@ -30,8 +31,9 @@
         return 0;
     }
     const auto since = static_cast<double>((now - *first_).count());
-    const double seen = std::max(since, least_time_us) / memory_us;
-    return decayed(now) / (1.0 - std::exp(-seen));
+    const double observed =
+        std::max(since, min_observation_us) / time_constant_us;
+    return decayed(now) / (1.0 - std::exp(-observed));
 }
 
 } // namespace waxwingvale::decision
--- a/src/decision/arrival_rate.hpp
+++ b/src/decision/arrival_rate.hpp
@@ -6,10 +6,10 @@
 
 namespace waxwingvale::decision {
 
-// How much arrives a second, over about the last half second: long enough to be
-// no chance, short enough to follow a wave of callers. At first it is what has
-// arrived since the first arrival: compared with half a second of which most
-// has not passed yet, a rush at the start would look like calm.
+// Rate of arrivals per second over about the last half second: long enough to
+// even out random variation, short enough to follow a wave of callers. In the
+// first half second it is taken over the time since the first arrival: over a
+// full half second, a rush right after the start would look like low load.
 class arrival_rate {
 public:
     void add(time_point now, double amount = 1);
@@ -18,7 +18,7 @@
 private:
     double decayed(time_point now) const;
 
-    double at_last_ = 0; // per second, at the moment of the last arrival
+    double at_last_ = 0; // per second, at the last arrival
     time_point last_{};
     std::optional<time_point> first_;
 };
--- a/src/decision/hedge_delay.cpp
+++ b/src/decision/hedge_delay.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double buckets_per_octave = 4;
-constexpr std::uint32_t enough_samples = 20;
+constexpr std::uint32_t min_samples = 20;
 constexpr std::uint32_t samples_before_halving = 2048;
 
 } // namespace
@@ -28,23 +28,23 @@
     }
 }
 
-duration hedge_delay::at_quantile(double quantile, duration otherwise) const {
-    if (total_ < enough_samples) {
-        return otherwise;
+duration hedge_delay::at_quantile(double quantile, duration fallback) const {
+    if (total_ < min_samples) {
+        return fallback;
     }
     const double wanted = quantile * total_;
-    double seen = 0;
+    double cumulative = 0;
     std::size_t bucket = 0;
     while (bucket + 1 < bucket_count) {
-        seen += counts_[bucket];
-        if (seen >= wanted) {
+        cumulative += counts_[bucket];
+        if (cumulative >= wanted) {
             break;
         }
         ++bucket;
     }
-    const auto edge =
+    const auto upper_bound =
         std::exp2(static_cast<double>(bucket + 1) / buckets_per_octave);
-    return duration(static_cast<duration::rep>(std::ceil(edge)));
+    return duration(static_cast<duration::rep>(std::ceil(upper_bound)));
 }
 
 } // namespace waxwingvale::decision
--- a/src/decision/hedge_policy.cpp
+++ b/src/decision/hedge_policy.cpp
@@ -13,17 +13,18 @@
         latencies_.at_quantile(limits_.quantile, limits_.unknown_delay));
 }
 
-// While no slot is spare. Slots of a service change hands many times within
-// one delay; asked again only after a whole one, most slow reads never got
-// their second copy. The figures are in the commit that brought this.
+// How soon to check again for a spare slot. Slots of a service become free many
+// times within one hedge delay: when the check was repeated only after a full
+// delay, most slow reads were never hedged.
 duration hedge_policy::retry_delay() const {
-    constexpr int retries_in_delay = 16;
-    return std::max(limits_.shortest, delay() / retries_in_delay);
+    constexpr int checks_per_delay = 16;
+    return std::max(limits_.shortest, delay() / checks_per_delay);
 }
 
 hedge_decision hedge_policy::on_slow(const hedge_candidate& candidate,
                                      time_point now) {
-    // A nested call that hedged at every level would double ten times over.
+    // If every level of a nested call hedged, ten levels would double the
+    // requests ten times over.
     if (candidate.nature != request_nature::retriable || candidate.nested ||
         candidate.hedged || now >= candidate.deadline) {
         return no_hedge{};
@@ -35,7 +36,7 @@
         return due < candidate.deadline ? hedge_decision(hedge_later{due})
                                         : no_hedge{};
     }
-    // A second copy must not take the slot that a waiting first copy needs.
+    // A hedge must not take a slot that a queued first attempt needs.
     if (candidate.free_slots <= candidate.waiting || !budget_.try_spend()) {
         return hedge_later{now + retry_delay()};
     }
--- a/src/decision/repeat_budget.cpp
+++ b/src/decision/repeat_budget.cpp
@@ -4,14 +4,14 @@
 
 namespace {
 
-// Counts are forgotten in parts of the window.
-constexpr int parts_per_window = 20;
+// The window slides in steps of one section.
+constexpr int sections_per_window = 20;
 
 } // namespace
 
-// A part is kept until the whole of it is outside the window.
+// A section is dropped only when all of it lies outside the window.
 repeat_budget::part& repeat_budget::current(time_point now) {
-    const duration length = limits_.window / parts_per_window;
+    const duration length = limits_.window / sections_per_window;
     while (!parts_.empty() &&
            now - parts_.front().from >= limits_.window + length) {
         requests_ -= parts_.front().requests;
@@ -30,11 +30,11 @@
 }
 
 bool repeat_budget::try_spend(time_point now) {
-    part& at = current(now);
+    part& section = current(now);
     if (repeats_ + 1 > limits_.fraction * requests_ + limits_.extra) {
         return false;
     }
-    at.repeats += 1;
+    section.repeats += 1;
     repeats_ += 1;
     return true;
 }
--- a/src/decision/request_queue.cpp
+++ b/src/decision/request_queue.cpp
@@ -67,18 +67,19 @@
 void request_queue::push(queued_request entry) {
     tenant_queue& queue = queue_of(entry.arrival.tenant);
     if (queue.positions.empty()) {
-        // A tenant that was idle saves nothing up: else its return would
-        // take every slot until it had caught up.
+        // An idle tenant accumulates no credit. Otherwise it would take every
+        // slot on its return until it had caught up.
         queue.served = std::max(queue.served, served_floor_);
     }
     insert(std::move(entry));
 }
 
-// Whose turn it is among the tenants that are not too far ahead.
+// Returns the tenant whose request is next, among the tenants that are not too
+// far ahead of their share.
 std::map<std::string, request_queue::tenant_queue>::iterator
-request_queue::next_tenant(bool whatever_priority) {
+request_queue::next_tenant(bool ignore_priority) {
     const auto goes_first = [&](const tenant_queue& a, const tenant_queue& b) {
-        return whatever_priority
+        return ignore_priority
                    ? by_urgency()(*a.by_urgency.begin(), *b.by_urgency.begin())
                    : by_priority()(*a.positions.begin(), *b.positions.begin());
     };
@@ -105,20 +106,20 @@
 
 queued_request request_queue::pop() {
     ++taken_;
-    const bool whatever_priority =
+    const bool ignore_priority =
         any_priority_every_ != 0 && taken_ % any_priority_every_ == 0;
-    tenant_queue& queue = next_tenant(whatever_priority)->second;
+    tenant_queue& queue = next_tenant(ignore_priority)->second;
     queue.served += 1.0 / queue.weight;
-    return take(whatever_priority ? queue.by_urgency.begin()->origin
-                                  : queue.positions.begin()->origin);
+    return take(ignore_priority ? queue.by_urgency.begin()->origin
+                                : queue.positions.begin()->origin);
 }
 
 void request_queue::restore(queued_request entry) {
     --taken_;
     tenant_queue& queue = queue_of(entry.arrival.tenant);
     if (queue.positions.empty()) {
-        // It may have been forgotten meanwhile, and would begin at nothing:
-        // far behind, it would hold all others back.
+        // The tenant's queue may have been removed meanwhile. A new queue with
+        // served = 0 would be so far behind that it held all others back.
         queue.served = std::max(queue.served, served_floor_);
     } else {
         queue.served -= 1.0 / queue.weight;
@@ -126,18 +127,20 @@
     insert(std::move(entry));
 }
 
-// Routes come and go: kept at nothing, each would take memory for good.
+// Entries that reach 0 are removed: routes are added and removed all the time,
+// and the class of each would otherwise take memory for good.
 void request_queue::leave_class(const queued_request& entry) {
     if (!entry.peer.empty()) {
-        return; // counted where it waits
+        return; // counted by the peer that received it
     }
-    const auto of = class_sizes_.find(entry.arrival.request_class);
-    if (--of->second == 0) {
-        class_sizes_.erase(of);
+    const auto found = class_sizes_.find(entry.arrival.request_class);
+    if (--found->second == 0) {
+        class_sizes_.erase(found);
     }
 }
 
-// By value: the name may be a part of what is erased.
+// Takes the origin by value, since a reference may point into the entry that is
+// erased.
 queued_request request_queue::take(request_origin origin) {
     auto found = entries_.find(origin);
     queued_request entry = std::move(found->second.entry);
@@ -149,7 +152,8 @@
     leave_class(entry);
     entries_.erase(found);
     if (queue.positions.empty() && !queue.named) {
-        // Callers choose the name: kept, each would take memory for good.
+        // Callers choose tenant names. If the queues of unlisted tenants were
+        // kept, each name would take memory for good.
         tenants_.erase(entry.arrival.tenant);
     }
     return entry;
@@ -219,7 +223,7 @@
 
 double request_queue::ahead_of(const request_arrived& request,
                                time_point latest_start) const {
-    double before = 0; // of all tenants
+    double before = 0; // over all tenants
     for (const auto& named : tenants_) {
         before += named.second.before(request.priority);
     }
@@ -227,7 +231,7 @@
     const double own =
         found == tenants_.end() ? 0 : found->second.before(request.priority);
     if (own == 0) {
-        // First of its tenant: at most one round of the others goes before.
+        // The first of its tenant waits for at most one round of the others.
         return std::min(before, active_weight());
     }
     const tenant_queue& queue = found->second;
@@ -236,9 +240,9 @@
         latest_start < first.latest_start) {
         return std::min(before, active_weight());
     }
-    // Counting only the more urgent ones of the tenant would take time in
-    // proportion to the queue; nearly all requests of a tenant have the same
-    // time allowed and queue up at the end.
+    // All queued requests of the tenant count as more urgent, since counting
+    // exactly would take time in proportion to the queue. Nearly all requests
+    // of a tenant are allowed the same time and so belong at the end.
     return std::min(before, own * active_weight() / queue.weight);
 }
 
--- a/src/decision/request_queue.hpp
+++ b/src/decision/request_queue.hpp
@@ -13,7 +13,8 @@
 
 namespace waxwingvale::decision {
 
-// Where a waiting request came from, and its number there.
+// Identifies a queued request by the instance that received it and its number
+// on that instance.
 struct request_origin {
     std::string peer; // empty: this instance
     request_id request = 0;
@@ -26,52 +27,54 @@
     }
 };
 
-// One waiting request, and the last moment at which starting it is useful.
 struct queued_request {
     request_arrived arrival;
     time_point arrived_at{};
-    time_point latest_start{};
-    std::string peer;     // that holds it; empty: this instance
-    time_point told_at{}; // when the peer last said that it waits
+    time_point latest_start{}; // starting it later is useless
+    std::string peer;          // that received it; empty: this instance
+    time_point told_at{}; // when the peer last confirmed that it is queued
 
     request_origin origin() const { return {peer, arrival.request}; }
 };
 
-// The requests that wait for a slot. Those of the highest priority go first,
-// and among them the most urgent. No tenant gets further ahead of its share
-// than a window of requests, so that one tenant's flood does not take the
-// others' slots; and one of so many goes by its urgency alone, so that no
-// priority is left without any.
+// Requests that wait for a slot. They are taken by priority and, within a
+// priority, by urgency (earliest latest_start first). Two rules limit this: no
+// tenant is served more than a window of requests ahead of its share, so that a
+// flood from one tenant does not take the slots of the others; and one in every
+// few requests is taken by urgency alone, so that no priority starves.
 class request_queue {
 public:
+    // `fairness_window`: how many requests a tenant may be served ahead of its
+    // share. `any_priority_every`: one in this many requests is taken by
+    // urgency alone; 0: none.
     request_queue(unsigned fairness_window, unsigned any_priority_every);
 
-    // Weights of tenants; those not named have weight 1.
+    // Sets the weights of tenants. Tenants not listed have weight 1.
     void set_tenants(const std::vector<tenant>& tenants);
 
     void push(queued_request entry);
-    // Takes the next request; the queue must not be empty.
+    // Takes the next request. The queue must not be empty.
     queued_request pop();
-    // Puts back what pop gave, as if it had not been taken.
+    // Undoes a pop() that returned this request.
     void restore(queued_request entry);
-    // Takes a request whose latest start is at or before that moment.
+    // Takes a request whose latest_start is not after `now`.
     std::optional<queued_request> pop_overdue(time_point now);
     std::optional<queued_request> remove(const request_origin& origin);
-    // Drops all that a peer waits with, but for those named.
+    // Removes the requests of the peer except those listed.
     void keep_only(const std::string& peer, const std::set<request_id>& kept);
 
     bool empty() const { return entries_.empty(); }
     std::size_t size() const { return entries_.size(); }
     bool contains(const request_origin& origin) const;
     const queued_request* find(const request_origin& origin) const;
-    // The peer said again that it waits.
+    // Records that the peer confirmed that the request is still queued there.
     void touch(const request_origin& origin, time_point now);
-    // Requests of the class that wait in this instance.
+    // Number of queued requests of the class that this instance received.
     std::size_t class_size(const std::string& request_class) const;
-    // Earliest latest_start of all; the queue must not be empty.
+    // Earliest latest_start in the queue. The queue must not be empty.
     time_point most_urgent() const;
-    // How many requests are served before a new one like that, with the
-    // tenants' shares taken into account.
+    // Estimates how many requests would be served before the given new one,
+    // taking the shares of tenants into account.
     double ahead_of(const request_arrived& request,
                     time_point latest_start) const;
 
@@ -90,13 +93,16 @@
     };
     struct tenant_queue {
         std::set<position, by_priority> positions;
-        std::set<position, request_queue::by_urgency> by_urgency; // the same
-        std::map<unsigned, std::size_t> sizes;                    // by priority
+        // The same positions, ordered by urgency alone.
+        std::set<position, request_queue::by_urgency> by_urgency;
+        std::map<unsigned, std::size_t> sizes; // by priority
         double served = 0; // requests served, divided by the weight
         double weight = 1;
-        bool named = false; // by the file; others are forgotten when empty
+        // Whether the configuration lists the tenant; queues of other tenants
+        // are removed when they become empty.
+        bool named = false;
 
-        // Requests that go before a new one of that priority.
+        // Number of requests that a new one of this priority would wait for.
         double before(unsigned priority) const;
     };
     struct stored {
@@ -109,14 +115,14 @@
     void insert(queued_request entry);
     void leave_class(const queued_request& entry);
     std::map<std::string, tenant_queue>::iterator
-    next_tenant(bool whatever_priority);
+    next_tenant(bool ignore_priority);
     double active_weight() const;
 
     unsigned fairness_window_;
     unsigned any_priority_every_;
     std::uint64_t taken_ = 0;
     std::uint64_t next_sequence_ = 0;
-    double served_floor_ = 0; // what a tenant that was idle starts from
+    double served_floor_ = 0; // `served` of a tenant that was idle so far
     std::map<std::string, tenant_queue> tenants_;
     std::set<position, by_urgency> by_urgency_;
     std::map<request_origin, stored> entries_;
--- a/src/decision/scheduler_dispatch.cpp
+++ b/src/decision/scheduler_dispatch.cpp
@@ -2,14 +2,14 @@
 
 #include "decision/service_scheduler_impl.hpp"
 
-// How requests that wait get the slots there are, or are given up.
+// Assignment of free slots to queued requests, and removal of overdue requests.
 namespace waxwingvale::decision {
 
 namespace {
 
-// Requests looked at, beyond the first, for one that a free slot suits, when
-// those before it exclude the servers with free slots.
-constexpr std::size_t parked_limit = 8;
+// How many requests that no free slot suits are skipped, in search of one that
+// can use a free slot.
+constexpr std::size_t max_skipped = 8;
 
 } // namespace
 
@@ -27,7 +27,7 @@
     }
     drop_overdue_late();
     while (of_owners_.pop_overdue(now_)) {
-        // Its own instance has refused it by now.
+        // The owner that received it has refused it by now.
     }
 }
 
@@ -43,21 +43,23 @@
     }
 }
 
-// Each slot given stands idle for a round trip between the instances. Above
-// capacity all owners have work waiting, and slots exchanged for little would
-// cost goodput.
+// Whether requests of other owners are more urgent by owner_urgency_margin than
+// the requests queued here. A granted slot is idle for a round trip between the
+// instances. Above capacity all owners have requests queued, and exchanging
+// slots for a small difference would cost goodput.
 bool service_scheduler::impl::owners_are_more_urgent() const {
     return !of_owners_.empty() && !queue_.empty() &&
            of_owners_.most_urgent() + policy_.owner_urgency_margin <
                queue_.most_urgent();
 }
 
-// What waits looks at all servers only now and then: a slot that it did not
-// want becomes no better until its server is heard of again, but for the time
-// that passes. Looking at 268 servers for nine requests with every event, the
-// owner of a service at three times its capacity needed 2 s of a processor for
-// each second, lagged, and sent requests on after their callers had left; this
-// way 0.2 s (waxwing-replay, mixed-shared-large, surge-3x).
+// Queued requests consider all servers only from time to time, and otherwise
+// those whose state has changed: apart from the passing of time, a slot that
+// did not suit a request does not become better until its server reports again.
+// When all 268 servers were considered for nine requests at every event, the
+// owner of a service at three times its capacity needed 2 s of processor time
+// per second instead of 0.2 s, fell behind, and forwarded requests whose
+// callers had already left (waxwing-replay, mixed-shared-large, surge-3x).
 void service_scheduler::impl::dispatch() {
     slot_choice slots = table_.take_changed();
     if (now_ >= whole_look_at_) {
@@ -76,18 +78,19 @@
 
 void service_scheduler::impl::dispatch_from(request_queue& queue,
                                             const slot_choice& slots) {
-    std::vector<queued_request> parked;
-    while (!queue.empty() && dispatch_one(queue, slots, parked)) {
+    std::vector<queued_request> skipped;
+    while (!queue.empty() && dispatch_one(queue, slots, skipped)) {
     }
-    for (queued_request& entry : parked) {
+    for (queued_request& entry : skipped) {
         queue.restore(std::move(entry));
     }
 }
 
-// False when no further request can get a slot.
+// Takes one request from the queue and assigns a slot to it, or appends it to
+// `skipped`. Returns whether to go on with the next request.
 bool service_scheduler::impl::dispatch_one(
     request_queue& queue, const slot_choice& slots,
-    std::vector<queued_request>& parked) {
+    std::vector<queued_request>& skipped) {
     if (!table_.any_room(slots, now_)) {
         return false;
     }
@@ -106,8 +109,8 @@
         place(entry, *at);
         return true;
     }
-    parked.push_back(std::move(entry));
-    return parked.size() <= parked_limit;
+    skipped.push_back(std::move(entry));
+    return skipped.size() <= max_skipped;
 }
 
 } // namespace waxwingvale::decision
--- a/src/decision/scheduler_events.cpp
+++ b/src/decision/scheduler_events.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-auto fields(const request_needs& of) {
-    return std::tie(of.tenant, of.request_class, of.nature, of.priority,
-                    of.attempt, of.excluded, of.data_centres, of.isolated,
-                    of.only_if_spare);
+auto fields(const request_needs& needs) {
+    return std::tie(needs.tenant, needs.request_class, needs.nature, needs.priority,
+                    needs.attempt, needs.excluded, needs.data_centres, needs.isolated,
+                    needs.only_if_spare);
 }
 
 } // namespace
--- a/src/decision/scheduler_grants.cpp
+++ b/src/decision/scheduler_grants.cpp
@@ -4,21 +4,21 @@
 
 #include "decision/service_scheduler_impl.hpp"
 
-// How owners lend slots to peers and how instances borrow them.
+// Lending of slots to peers, and borrowing of slots from owners.
 namespace waxwingvale::decision {
 
 namespace {
 
-// A lease lasts for many usual service times, so that it ends before the
-// request only when the peer has lost it.
-constexpr int lease_service_times = 20;
+// A lease lasts for many typical service times, so that it expires before the
+// request ends only if the peer has lost the request.
+constexpr int service_times_per_lease = 20;
 
-std::set<request_id> numbers_of(const std::vector<waiting_request>& waiting) {
-    std::set<request_id> numbers;
+std::set<request_id> ids_of(const std::vector<waiting_request>& waiting) {
+    std::set<request_id> ids;
     for (const waiting_request& each : waiting) {
-        numbers.insert(each.request);
+        ids.insert(each.request);
     }
-    return numbers;
+    return ids;
 }
 
 } // namespace
@@ -29,7 +29,7 @@
         forget({event.peer, request});
     }
     if (event.whole) {
-        keep_only(event.peer, numbers_of(event.waiting));
+        keep_only(event.peer, ids_of(event.waiting));
     }
     if (event.waiting.empty() && !event.wants_word) {
         return;
@@ -65,7 +65,7 @@
                                               const waiting_request& waiting) {
     const request_origin origin{peer, waiting.request};
     if (lender_.holds(origin)) {
-        return; // the grant has crossed this message
+        return; // already granted; the grant had not arrived when it was sent
     }
     if (knows(origin)) {
         queue_.touch(origin, now_);
@@ -90,7 +90,8 @@
     }
 }
 
-// An owner admits and refuses by its own queue, and has counted the request.
+// Queues a request of another owner. It is neither admitted nor counted here,
+// since the other owner has done both.
 void service_scheduler::impl::admit_from_owner(queued_request entry) {
     const request_arrived& request = entry.arrival;
     entry.latest_start = admission_.latest_start(request, now_);
@@ -98,11 +99,11 @@
         entry.latest_start = in_time_until(request);
     }
     of_owners_.push(std::move(entry));
-    whole_look_at_ = now_; // it has not looked at any slot yet
+    whole_look_at_ = now_; // the new request has not been offered any slot yet
 }
 
-// Whether the peer has not said for long that the request still waits: it has
-// ended, or is out of reach.
+// Whether the peer has not confirmed for ask_lifetime that the request is still
+// queued: it has ended, or the peer is unreachable.
 bool service_scheduler::impl::forgotten(const queued_request& entry) const {
     return !entry.peer.empty() && now_ - entry.told_at > policy_.ask_lifetime;
 }
@@ -119,7 +120,7 @@
                                     slot_table::index at) {
     const request_arrived& request = entry.arrival;
     const duration lease = std::clamp(
-        admission_.typical(request.request_class) * lease_service_times,
+        admission_.typical(request.request_class) * service_times_per_lease,
         policy_.lease_min, policy_.lease_max);
     const duration slow = slow_after(entry, at);
     given_grant given;
@@ -135,11 +136,12 @@
         give_grant{entry.peer, number, request.request, server, lease, slow});
 }
 
-// Every ask is answered, so that the peer knows that somebody is there.
+// Answers every peer that asked for slots and got no grant, so that it does not
+// take this instance for unreachable.
 void service_scheduler::impl::answer_peers() {
     for (auto& reply : replies_) {
-        const bool silent = reply.second.asked && !reply.second.granted;
-        if (!silent && reply.second.declined.empty()) {
+        const bool unanswered = reply.second.asked && !reply.second.granted;
+        if (!unanswered && reply.second.declined.empty()) {
             continue;
         }
         answer_ask answer;
@@ -156,7 +158,7 @@
     hear(event.peer);
     const auto ended = lender_.take_back(event.peer, event.grant);
     if (!ended) {
-        return; // its lease ran out before
+        return; // its lease has expired
     }
     if (event.use) {
         learn({ended->backend_server, ended->request_class, ended->attempt,
@@ -194,9 +196,10 @@
            may_run_on(entry.arrival, table_.at(*at));
 }
 
-// The request for which the slot was given, if it still waits, and otherwise
-// the most urgent that may run there: the slot is as good for it. A suspect
-// runs alone, which only the owner can see to.
+// Returns the request that the slot was granted for, if it is still queued;
+// otherwise the next one in the queue, if it may run there, since the slot
+// serves it as well. An isolated request is not taken instead: only the owner
+// can ensure that nothing else runs on the server.
 std::optional<queued_request>
 service_scheduler::impl::take_for(const grant_received& grant) {
     const request_origin origin{{}, grant.request};
@@ -243,8 +246,8 @@
 void service_scheduler::impl::on(const ask_answered& event) {
     hear(event.peer);
     if (!event.is_owner) {
-        // We hold the real owner to be out of reach, and this peer does not;
-        // or it has yet to learn that it is one.
+        // The peer is a standby that still reaches the actual owner, which this
+        // instance does not; or it does not know yet that it is an owner.
         if (silent_.add_denying(event.peer, now_)) {
             apply_reachability();
         }
@@ -255,7 +258,7 @@
     for (const declined_request& declined : event.declined) {
         const auto come_back_in = borrower_.declined(event.peer, declined);
         if (!come_back_in || decides()) {
-            continue; // another owner may have a slot, or this one
+            continue; // another owner or this instance may have a slot
         }
         forget({{}, declined.request});
         borrower_.remove(declined.request);
@@ -268,16 +271,16 @@
 waiting_request service_scheduler::impl::describe(request_id request) const {
     const request_origin origin{{}, request};
     const queued_request* entry = queue_.find(origin);
-    const request_arrived& known =
+    const request_arrived& arrival =
         (entry != nullptr ? entry : late_.find(origin))->arrival;
-    waiting_request told;
-    static_cast<request_needs&>(told) = known;
-    told.request = request;
-    told.time_left = known.deadline - now_;
-    if (known.target) {
-        told.target_left = *known.target - now_;
+    waiting_request described;
+    static_cast<request_needs&>(described) = arrival;
+    described.request = request;
+    described.time_left = arrival.deadline - now_;
+    if (arrival.target) {
+        described.target_left = *arrival.target - now_;
     }
-    return told;
+    return described;
 }
 
 void service_scheduler::impl::borrow() {
@@ -299,10 +302,11 @@
     }
 }
 
-// Whether slots depend on reaching that peer. Each of 128 instances opens
-// links with dozens of others when it starts, few of which are owners. Looking
-// at every server for each link takes a quarter of a start's processor time
-// (perf, 100 instances on one machine, some 40 owners of one service).
+// Whether the peer is an owner or a standby of the service. Only then does its
+// reachability affect the usable slots. Each of 128 instances opens links to
+// dozens of others when it starts, few of which are owners; recomputing the
+// slots of every server for each link took a quarter of the processor time of a
+// start (perf, 100 instances on one machine, some 40 owners of one service).
 bool service_scheduler::impl::takes_part(const std::string& peer) const {
     const auto is_peer = [&](const slot_owner& each) {
         return each.member.name == peer;
@@ -320,7 +324,7 @@
     }
 }
 
-// The peer has shown that it hands out slots.
+// Records a message that only an owner sends.
 void service_scheduler::impl::hear_of_owner(const std::string& peer) {
     if (silent_.remove(peer)) {
         apply_reachability();
@@ -332,20 +336,21 @@
     for (const std::string& peer : silent_.names()) {
         reachable.erase(peer);
     }
-    view_changed acting = view_;
-    acting.owners = with_standbys(view_.owners, self_.name, reachable);
-    borrower_.set_lenders(acting.owners.owners, self_.name, reachable);
-    const service* of =
+    view_changed effective = view_;
+    effective.owners = with_standbys(view_.owners, self_.name, reachable);
+    borrower_.set_lenders(effective.owners.owners, self_.name, reachable);
+    const service* configured =
         view_.config ? find_service(*view_.config, service_) : nullptr;
     static const service no_service;
-    table_.apply(of != nullptr ? *of : no_service, acting, reachable);
+    table_.apply(configured != nullptr ? *configured : no_service, effective,
+                 reachable);
     limit_repeats();
 }
 
-// An owner that is stopped or cut off keeps its link for a while. Requests
-// that wait for its slots would be lost meanwhile, so after a short silence
-// it counts as out of reach and a standby is asked, or a share of its slots
-// used instead.
+// The link to an owner that has stopped or lost its network stays open for a
+// while, and requests that wait for its slots would be lost meanwhile. An owner
+// that leaves a request for slots unanswered for silence_limit therefore counts
+// as unreachable: a standby is asked, or a share of its slots is used.
 void service_scheduler::impl::watch_silence() {
     while (const auto peer = borrower_.silent(now_)) {
         silent_.add_silent(*peer, now_);
@@ -355,10 +360,10 @@
 
 void service_scheduler::impl::look_for_silent() {
     for (const std::string& peer : silent_.take_due(now_)) {
-        ask_slots word;
-        word.peer = peer;
-        word.wants_word = true;
-        actions_->emplace_back(std::move(word));
+        ask_slots message;
+        message.peer = peer;
+        message.wants_word = true;
+        actions_->emplace_back(std::move(message));
     }
 }
 
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -4,13 +4,13 @@
 
 #include "decision/service_scheduler_impl.hpp"
 
-// How requests arrive, begin to wait, start and end.
+// Arrival, queueing, start and end of requests.
 namespace waxwingvale::decision {
 
 namespace {
 
-bool is_repeat(const request_needs& of) {
-    return of.attempt > 1 || of.only_if_spare;
+bool is_repeat(const request_needs& request) {
+    return request.attempt > 1 || request.only_if_spare;
 }
 
 } // namespace
@@ -18,7 +18,7 @@
 void service_scheduler::impl::on(const request_arrived& event) {
     const request_origin origin{{}, event.request};
     if (knows(origin) || running_.count(event.request) != 0) {
-        return; // it is still the former attempt's turn
+        return; // its previous attempt is still queued or running
     }
     if (event.deadline <= now_) {
         actions_->emplace_back(expire_request{event.request});
@@ -52,14 +52,15 @@
     }
     const bool no_owner = !table_.owns_any() && !borrower_.has_lenders();
     if (request.isolated && no_owner) {
-        // Only an owner knows what else runs on a backend server.
+        // Only an owner knows whether anything else runs on a backend server.
         refuse(request.request, refusal_reason::no_spare_slot);
         return true;
     }
     return false;
 }
 
-// A request that arrived here, or that a peer has told of for the first time.
+// Admits a request that arrived on this instance or that a peer named for the
+// first time.
 void service_scheduler::impl::admit(queued_request entry) {
     const request_arrived& request = entry.arrival;
     if (is_repeat(request)) {
@@ -85,10 +86,12 @@
     enqueue(std::move(entry));
 }
 
-// With others waiting a new request takes its turn: they wait for better slots
-// than those that are free, and become less choosy while they do. Let through
-// to the slots that they did not want yet, newcomers left them none: worth
-// 0.886 and not 0.936 (waxwing-replay, mixed-shared-large, rush).
+// Starts a new request at once if nothing is queued. Otherwise it must queue as
+// well: the queued requests wait for better slots than the free ones, and
+// tolerate worse slots the longer they wait. When new requests could take the
+// free slots at once, none were left for the queued ones, and the value of all
+// answers was 0.886 instead of 0.936 (waxwing-replay, mixed-shared-large,
+// rush).
 bool service_scheduler::impl::place_now(const queued_request& entry) {
     if (!queue_.empty()) {
         return false;
@@ -109,7 +112,7 @@
         return;
     }
     if (!decides()) {
-        // How long owners will take they say when asked.
+        // The waiting time is unknown here: owners estimate it when asked.
         entry.latest_start = admission_.latest_start(request, now_);
         if (entry.latest_start < now_) {
             turn_down(entry, refusal_reason::too_late);
@@ -126,8 +129,8 @@
                                     : admission_.latest_start(request, now_);
     const double slots = slots_for(request);
     const double ahead = queue_.ahead_of(request, entry.latest_start);
-    // Without slots that work nothing is known of how long it takes: other
-    // owners may lend some, or the servers recover.
+    // With no working slot the waiting time is unknown and counts as zero:
+    // other owners may lend slots, or the servers may recover.
     const duration wait = slots > 0
                               ? admission_.time_to_serve(ahead + 1.0, slots)
                               : duration::zero();
@@ -146,8 +149,9 @@
     queue_.push(std::move(entry));
 }
 
-// It can no longer be answered within its target. Whoever can be answers more
-// for the same work, so it gets what slots are left, or is refused at once.
+// Queues a request that can no longer meet its target, or refuses it at once. A
+// request that can meet its target gains more value from the same work, so that
+// late requests get only the slots that are left.
 void service_scheduler::impl::enqueue_late(queued_request entry) {
     entry.latest_start = admission_.latest_start(entry.arrival, now_);
     const double ahead = static_cast<double>(queue_.size()) +
@@ -166,19 +170,20 @@
 duration service_scheduler::impl::backlog() const {
     const double slots = table_.counted_slots();
     if (slots <= 0 || queue_.empty()) {
-        return duration::zero(); // without slots it depends on others
+        return duration::zero(); // without slots, other owners determine it
     }
     return admission_.time_to_serve(static_cast<double>(queue_.size()), slots);
 }
 
-// What requests that can be answered in time leave of the slots.
+// Slots that the requests in time do not need.
 double service_scheduler::impl::spare_slots() const {
     const double all = table_.paced_slots(now_);
     return std::max(all - offered_.slots_needed(now_),
                     policy_.least_spare_share * all);
 }
 
-// Slots that serve a request that waits: what those of higher priority leave.
+// Slots available to a queued request: those that requests of higher priority
+// do not need.
 double
 service_scheduler::impl::slots_for(const request_arrived& request) const {
     if (!request.target) {
@@ -192,9 +197,9 @@
 
 duration service_scheduler::impl::next_appointment() {
     if (!decides() && borrower_.has_lenders()) {
-        // It had too little time left to be lent a slot. What owners have to do
-        // is not known here; counted as having no slots at all, callers were
-        // told half a minute.
+        // The request had too little time left to borrow a slot. The backlog of
+        // the owners is unknown here. When it was computed from zero slots,
+        // callers were told to come back after half a minute.
         return admission_.typical({});
     }
     const bool by_target = offered_.arrivals_per_second(now_) > 0;
@@ -222,26 +227,27 @@
 double
 service_scheduler::impl::tolerated_loss(const queued_request& entry) const {
     const auto waited = static_cast<double>((now_ - entry.arrived_at).count());
-    const auto whole =
+    const auto allowed =
         static_cast<double>((entry.latest_start - entry.arrived_at).count());
-    const double part = whole > 0 ? std::min(waited / whole, 1.0) : 0.0;
-    return policy_.tolerated_loss + part * policy_.tolerated_loss_at_last;
+    const double used = allowed > 0 ? std::min(waited / allowed, 1.0) : 0.0;
+    return policy_.tolerated_loss + used * policy_.tolerated_loss_at_last;
 }
 
 slot_wish service_scheduler::impl::wish_of(const queued_request& entry) const {
     const request_arrived& request = entry.arrival;
-    const bool ours = entry.peer.empty();
+    const bool arrived_here = entry.peer.empty();
     slot_wish wish;
     wish.request = &request;
     wish.isolated = request.isolated;
     wish.may_sample = request.nature == request_nature::retriable;
-    const bool just_came = now_ - entry.arrived_at < policy_.failing_patience;
-    const bool of_owner = !ours && find_owner(view_.owners, entry.peer);
-    wish.patient = of_owner || (borrower_.has_lenders() && just_came);
+    const bool just_arrived =
+        now_ - entry.arrived_at < policy_.failing_patience;
+    const bool of_owner = !arrived_here && find_owner(view_.owners, entry.peer);
+    wish.patient = of_owner || (borrower_.has_lenders() && just_arrived);
     wish.typical = admission_.typical(request.request_class);
     wish.backlog = backlog();
-    wish.lent = !ours;
-    wish.data_centre = data_centre_of(ours ? self_.name : entry.peer);
+    wish.lent = !arrived_here;
+    wish.data_centre = data_centre_of(arrived_here ? self_.name : entry.peer);
     wish.crossing_loss = admission_.crossing_loss(request.request_class);
     wish.forecast = forecast_of(entry);
     wish.tolerated_loss = tolerated_loss(entry);
@@ -257,19 +263,20 @@
     }
 }
 
-// When nineteen of twenty answers have come, at the pace that is known of the
-// server. Later, it has probably become slower since it told.
+// Time by which nineteen of twenty answers arrive, at the known pace of the
+// server. If an answer takes longer, the server has probably become slower
+// since its last report.
 duration service_scheduler::impl::slow_after(const queued_request& entry,
                                              slot_table::index at) const {
-    constexpr double deviations = 1.645;
+    constexpr double deviations = 1.645; // the 95% quantile
     const auto forecast = forecast_of(entry);
     if (!forecast) {
         return duration::zero();
     }
-    const double logarithm = forecast->typical_log +
-                             deviations * forecast->log_spread +
-                             table_.expected_log_factor(at);
-    return duration(static_cast<duration::rep>(std::exp(logarithm)));
+    const double log_time = forecast->typical_log +
+                            deviations * forecast->log_spread +
+                            table_.expected_log_factor(at);
+    return duration(static_cast<duration::rep>(std::exp(log_time)));
 }
 
 void service_scheduler::impl::start(const queued_request& entry,
@@ -299,7 +306,7 @@
         {entry.arrival.request, next_appointment()});
 }
 
-// No slot for it comes any more.
+// Refuses all queued requests, since the service has been removed.
 void service_scheduler::impl::turn_down_all() {
     for (request_queue* queue : {&queue_, &late_}) {
         while (!queue->empty()) {
@@ -307,7 +314,7 @@
         }
     }
     while (!of_owners_.empty()) {
-        of_owners_.pop(); // its own instance refuses it
+        of_owners_.pop(); // refused by the owner that received it
     }
 }
 
@@ -347,15 +354,16 @@
     }
 }
 
-// Whether its backend server has started again since the attempt began.
+// Whether the backend server has restarted since the request was started.
 bool service_scheduler::impl::started_again(
     const running_request& ended) const {
     const auto at = table_.find(ended.backend_server);
     return at && is_of_former(ended.incarnation, table_.at(*at).incarnation());
 }
 
-// An attempt on a slot of a peer's has the number 0, which no attempt on an own
-// slot has: its server's pace when it began is not known here.
+// Updates the estimates of the server and of the class with the result of an
+// attempt. An attempt on a slot leased from a peer has the reference 0, which
+// no other attempt has: the server's pace at its start is not known here.
 void service_scheduler::impl::learn(const attempt_end& ended) {
     const auto at = table_.find(ended.backend_server);
     if (!at) {
@@ -365,7 +373,7 @@
     ended_attempt expected =
         table_.finish(*at, ended.attempt, use.verdict, use.load, now_);
     if (expected.of_former) {
-        return; // it says nothing of the process that runs there now
+        return; // it ran on an earlier process of this backend server
     }
     const auto at_usual_pace = duration(static_cast<duration::rep>(
         static_cast<double>(use.service_time.count()) *
@@ -378,7 +386,7 @@
         return;
     }
     admission_.add_answer_size(ended.request_class, use.answer_bytes);
-    // What passed-over servers take must not become the usual time.
+    // Service times of stragglers must not become the usual time.
     const bool roomy =
         expected.roomy || (expected.fairly_roomy && !expected.comparable);
     if (!table_.at(*at).health().straggler()) {
--- a/src/decision/service_scheduler.cpp
+++ b/src/decision/service_scheduler.cpp
@@ -80,29 +80,29 @@
 void service_scheduler::impl::handle(const scheduler_event& event,
                                      time_point now, action_list& actions) {
     if (now - now_ >= policy_.silence_limit) {
-        // Nothing reached us for that long, perhaps since we did not run:
-        // peers may have answered, and their words are still to be read.
+        // No event was handled for that long, possibly because this process did
+        // not run. Answers of peers may have arrived but not been read yet.
         borrower_.forgive_silence(now);
     }
     now_ = std::max(now_, now);
     actions_ = &actions;
     const bool cancels = std::holds_alternative<request_cancelled>(event);
     if (cancels) {
-        // Before anything else, or an overdue request would be refused in
-        // the same breath, to a caller that is gone.
+        // Handled before overdue requests are dropped. Otherwise the cancelled
+        // request, if overdue, would be refused to a caller that has gone.
         on(std::get<request_cancelled>(event));
     }
     end_leases();
     drop_overdue();
     if (!cancels) {
-        std::visit([this](const auto& known) { on(known); }, event);
+        std::visit([this](const auto& each) { on(each); }, event);
     }
     settle();
     actions_ = nullptr;
 }
 
-// What follows from every event: waiting requests get the slots there are,
-// then peers are answered, and asked for slots.
+// Runs after every event: assigns free slots to queued requests, answers peers,
+// and then asks peers for slots.
 void service_scheduler::impl::settle() {
     dispatch();
     answer_peers();
@@ -144,19 +144,19 @@
 }
 
 void service_scheduler::impl::on(const view_changed& event) {
-    const service* of =
+    const service* found =
         event.config ? find_service(*event.config, service_) : nullptr;
-    removed_ = event.config && of == nullptr;
+    removed_ = event.config && found == nullptr;
     if (removed_) {
-        // What is known of its servers, and what runs there, stays for the
-        // configuration that names it again.
+        // The state of its servers and the running requests are kept for a
+        // later configuration that names the service again.
         turn_down_all();
         return;
     }
     view_ = event;
     static const service no_service;
-    const service& known = of != nullptr ? *of : no_service;
-    admission_.configure(known, routes_of(view_.config));
+    const service& configured = found != nullptr ? *found : no_service;
+    admission_.configure(configured, routes_of(view_.config));
     if (view_.config) {
         queue_.set_tenants(view_.config->tenants);
     }
@@ -164,22 +164,24 @@
     apply_reachability();
 }
 
-// Without an owner at hand every instance allows only its part, since none
-// knows what the others do.
+// An instance that owns no slots allows only its part of the extra repeats,
+// since it does not know how many the others allow.
 void service_scheduler::impl::limit_repeats() {
-    const service* of =
+    const service* configured =
         view_.config ? find_service(*view_.config, service_) : nullptr;
-    if (of == nullptr) {
+    if (configured == nullptr) {
         return;
     }
     const auto members =
         static_cast<double>(std::max<std::size_t>(view_.members.size(), 1));
     repeat_limits limits;
-    limits.window = of->budgets.repeat_window;
-    limits.fraction = of->budgets.repeats > 0
-                          ? of->budgets.repeats
-                          : of->budgets.retries + of->budgets.hedges;
-    limits.extra = of->budgets.repeat_extra * policy_.repeat_extra_share /
+    limits.window = configured->budgets.repeat_window;
+    limits.fraction =
+        configured->budgets.repeats > 0
+            ? configured->budgets.repeats
+            : configured->budgets.retries + configured->budgets.hedges;
+    limits.extra = configured->budgets.repeat_extra *
+                   policy_.repeat_extra_share /
                    (table_.owns_any() ? 1 : members);
     repeats_.change_limits(limits);
 }
@@ -200,21 +202,21 @@
 }
 
 scheduler_load service_scheduler::impl::load(time_point now) const {
-    scheduler_load known;
-    known.owns = table_.owns_any();
-    known.queued = queue_.size();
-    known.late = late_.size();
-    known.working_slots = table_.working_slots();
-    known.prompt_slots = table_.prompt_slots(now);
-    known.spare_slots = spare_slots();
-    known.busy_slots = table_.busy_slots();
-    known.lent = lender_.given();
-    known.arrivals_per_second = offered_.arrivals_per_second(now);
-    known.turned_down = turned_down_;
-    return known;
-}
-
-// Probes pay only while there are requests to place.
+    scheduler_load load;
+    load.owns = table_.owns_any();
+    load.queued = queue_.size();
+    load.late = late_.size();
+    load.working_slots = table_.working_slots();
+    load.prompt_slots = table_.prompt_slots(now);
+    load.spare_slots = spare_slots();
+    load.busy_slots = table_.busy_slots();
+    load.lent = lender_.given();
+    load.arrivals_per_second = offered_.arrivals_per_second(now);
+    load.turned_down = turned_down_;
+    return load;
+}
+
+// Probes are worth their cost only while requests arrive.
 std::vector<std::string>
 service_scheduler::impl::unheard(time_point now) const {
     const bool busy = offered_.arrivals_per_second(now) >= 1.0;
--- a/src/decision/service_scheduler_impl.hpp
+++ b/src/decision/service_scheduler_impl.hpp
@@ -20,7 +20,7 @@
 
 namespace waxwingvale::decision {
 
-// The parts of a service_scheduler and how events pass through them.
+// Holds the parts of a service_scheduler and passes events through them.
 class service_scheduler::impl {
 public:
     impl(std::string service, member_id self, const scheduling_policy& policy);
@@ -42,17 +42,17 @@
     struct running_request {
         std::string request_class;
         std::string backend_server;
-        attempt_ref attempt = 0; // on an own slot
+        attempt_ref attempt = 0; // 0: on a slot leased from a peer
         time_point started_at{};
         backend_incarnation incarnation = 0;
-        std::string from_peer;
+        std::string from_peer; // empty: the slot is not leased
         grant_id grant = 0;
     };
 
-    // Among which servers a waiting request looks for a slot; none: all.
+    // The servers on which queued requests look for a slot; none: all servers.
     using slot_choice = std::optional<std::vector<slot_table::index>>;
 
-    // How an attempt ended, here or at a peer.
+    // An attempt that ended, on this instance or on a peer that leased a slot.
     struct attempt_end {
         std::string backend_server;
         std::string request_class;
@@ -86,7 +86,8 @@
     void refuse(request_id request, refusal_reason reason);
     bool place_now(const queued_request& entry);
     bool runs_stale(const request_arrived& request) const;
-    // Whether it is decided here when what waits here is started.
+    // Whether this instance may use slots of its own or a share of the slots of
+    // other owners. If not, owners decide when the requests queued here start.
     bool decides() const { return table_.has_slots(); }
     duration backlog() const;
     double spare_slots() const;
@@ -106,7 +107,7 @@
     void dispatch_from(request_queue& queue, const slot_choice& slots);
     bool owners_are_more_urgent() const;
     bool dispatch_one(request_queue& queue, const slot_choice& slots,
-                      std::vector<queued_request>& parked);
+                      std::vector<queued_request>& skipped);
 
     // scheduler_grants.cpp
     void admit_from_peer(const std::string& peer,
@@ -133,10 +134,10 @@
     void watch_silence();
     void look_for_silent();
 
-    // What is to be told to a peer once the event is handled.
+    // The answer due to a peer at the end of the current event.
     struct peer_reply {
-        bool asked = false;   // and is to hear something
-        bool granted = false; // and so has heard something
+        bool asked = false;   // the peer asked, so that it must get an answer
+        bool granted = false; // a grant was sent, which serves as the answer
         std::vector<declined_request> declined;
     };
 
@@ -148,18 +149,20 @@
     member_id self_;
     scheduling_policy policy_;
     time_point now_{};
-    action_list* actions_ = nullptr; // while an event is handled
-    view_changed view_;              // the last that names the service
-    bool removed_ = false;           // by a later one
-    // Peers with a working link, and of those the owners without answers.
+    action_list* actions_ = nullptr; // set while an event is handled
+    view_changed view_; // the last one whose configuration names the service
+    bool removed_ = false; // the current configuration does not name it
+    // Peers with a working link, and those of them that are owners but leave
+    // requests for slots unanswered.
     std::unordered_set<std::string> linked_;
     silent_owners silent_;
     slot_table table_;
-    // What is to be answered in time, and what can only be answered late: it
-    // gets the slots that nothing else needs.
+    // Requests that can still meet their target or deadline, and requests that
+    // can only be answered after their target. The latter get the slots that
+    // nothing else needs.
     request_queue queue_;
     request_queue late_;
-    // What other owners have no slots for at the moment.
+    // Requests of other owners that have no free slots at the moment.
     request_queue of_owners_;
     offered_load offered_;
     repeat_budget repeats_;
@@ -169,8 +172,8 @@
     std::map<std::string, peer_reply> replies_;
     std::unordered_map<request_id, running_request> running_;
     std::optional<time_point> wake_at_;
-    // When what waits looks at all servers again, rather than at those of
-    // which something is new.
+    // When queued requests consider all servers again, rather than only those
+    // whose state has changed.
     time_point whole_look_at_{};
     std::uint64_t turned_down_ = 0;
 };
--- a/src/decision/work_forecast.hpp
+++ b/src/decision/work_forecast.hpp
@@ -2,12 +2,12 @@
 
 namespace waxwingvale::decision {
 
-// How long a request's work is expected to take at the usual pace, against the
-// time there is for it.
+// Expected service time of a request at the usual pace, and the time left for
+// it, as natural logarithms of microseconds.
 struct work_forecast {
-    double typical_log = 0; // of microseconds
-    double log_spread = 0;
-    double left_log = 0; // of the microseconds left
+    double typical_log = 0;
+    double log_spread = 0; // standard deviation of the logarithm
+    double left_log = 0;
 };
 
 } // namespace waxwingvale::decision
--- a/test/retries/retry_policy_test.cpp
+++ b/test/retries/retry_policy_test.cpp
@@ -37,9 +37,9 @@
 
 } // namespace
 
-// The connection breaks after the first byte of a booking went out. Sending it
-// again could book the official twice.
-TEST_CASE("An at-most-once request is repeated only when it never started") {
+// The connection breaks after the first byte of a booking was sent. Sending the
+// request again could book the official twice.
+TEST_CASE("An at-most-once request is retried only if it never started") {
     retry_policy policy({});
     auto failed = failed_read();
     failed.nature = request_nature::at_most_once;
@@ -51,9 +51,9 @@
         2);
 }
 
-// A call ten levels deep fails at the bottom. If every level repeated it
-// twice, the bottom would see a thousand calls for one.
-TEST_CASE("Below the first level only unstarted attempts are repeated") {
+// A nested call fails at the tenth level. If every level made two attempts, the
+// lowest level would receive a thousand requests for one.
+TEST_CASE("Below the first level only unstarted attempts are retried") {
     retry_policy policy({});
     auto failed = failed_read();
     failed.nested = true;
@@ -64,16 +64,16 @@
         policy.on_failed(failed, start)));
 }
 
-TEST_CASE("No attempt begins that cannot end before the deadline") {
+TEST_CASE("A retry that could not end before the deadline is not made") {
     retry_policy policy({});
     REQUIRE(
         reason_of(policy.on_failed(failed_read(), start + milliseconds(480))) ==
         give_up_reason::deadline);
 }
 
-// Every backend server fails at once. Without a budget each call would turn
-// into several, just when there is least room for them.
-TEST_CASE("Retries stay a fraction of first attempts") {
+// All backend servers fail at once. Without a budget each request would cause
+// several attempts, just when there is the least capacity for them.
+TEST_CASE("Retries stay below their fraction of first attempts") {
     retry_limits limits;
     limits.fraction = 0.1;
     limits.burst = 10;
@@ -81,14 +81,14 @@
     unsigned retries = 0;
     for (unsigned call = 0; call < 10000; ++call) {
         policy.on_first_attempt();
-        const auto made = policy.on_failed(failed_read(), start);
-        retries += std::holds_alternative<retry_elsewhere>(made) ? 1 : 0;
+        const auto decision = policy.on_failed(failed_read(), start);
+        retries += std::holds_alternative<retry_elsewhere>(decision) ? 1 : 0;
     }
     REQUIRE(retries <= 1010);
     REQUIRE(retries >= 1000);
 }
 
-TEST_CASE("Not run needs proof") {
+TEST_CASE("An attempt counts as not run only with proof") {
     attempt_facts facts;
     REQUIRE(outcome_of_attempt(facts) == run_outcome::not_run);
     facts.sent_any_byte = true;
@@ -100,7 +100,7 @@
     REQUIRE(outcome_of_attempt(facts) == run_outcome::ran);
 }
 
-TEST_CASE("A read is hedged once it is slower than most") {
+TEST_CASE("A read is hedged after the 95% quantile of latencies") {
     hedge_policy policy({});
     for (int call = 0; call < 1000; ++call) {
         policy.on_latency(milliseconds(call % 100 < 96 ? 10 : 200));
@@ -113,9 +113,9 @@
         policy.on_slow(slow_read(), start + milliseconds(20))));
 }
 
-// On the hour every slot is wanted. A second copy of one call would take the
-// slot of another caller's first.
-TEST_CASE("A hedge never takes the last free slot from a waiting call") {
+// Every slot is needed, as on the hour when all devices wake. A hedge would
+// take the slot that the first attempt of another request waits for.
+TEST_CASE("A hedge does not take the last free slot from a queued request") {
     hedge_policy policy({});
     auto candidate = slow_read();
     candidate.free_slots = 1;
@@ -126,7 +126,7 @@
         policy.on_slow(candidate, start + milliseconds(100))));
 }
 
-TEST_CASE("Bookings and nested calls are never hedged") {
+TEST_CASE("At-most-once requests and nested calls are never hedged") {
     hedge_policy policy({});
     auto booking = slow_read();
     booking.nature = request_nature::at_most_once;
@@ -137,10 +137,10 @@
     REQUIRE(std::holds_alternative<no_hedge>(policy.on_slow(nested, late)));
 }
 
-// All reads turn slow at once, which hedging cannot mend.
-TEST_CASE("A budget of nothing allows nothing, from the start") {
-    // An operator turns hedges off because each competes with a customer.
-    // Were the saved-up burst spent first, some would be sent all the same.
+// An operator sets the fraction to 0, because hedges compete with first
+// attempts. If the initial burst could still be spent, some hedges would be
+// sent all the same.
+TEST_CASE("A budget with fraction 0 allows no attempt, not even its burst") {
     attempt_budget none(0, 5);
     CHECK_FALSE(none.can_spend());
     CHECK_FALSE(none.try_spend());
@@ -149,14 +149,16 @@
     CHECK_FALSE(turned_off.try_spend());
 }
 
-TEST_CASE("Hedges stay a fraction of first attempts") {
+// All reads become slow at once, which hedging cannot remedy. Without a budget
+// it would double the load.
+TEST_CASE("Hedges stay below their fraction of first attempts") {
     hedge_policy policy({});
     unsigned hedges = 0;
     for (unsigned call = 0; call < 10000; ++call) {
         policy.on_first_attempt();
-        const auto made =
+        const auto decision =
             policy.on_slow(slow_read(), start + milliseconds(100));
-        hedges += std::holds_alternative<hedge_now>(made) ? 1 : 0;
+        hedges += std::holds_alternative<hedge_now>(decision) ? 1 : 0;
     }
     REQUIRE(hedges <= 505);
 }
--- a/test/scheduling/admission_test.cpp
+++ b/test/scheduling/admission_test.cpp
@@ -9,9 +9,9 @@
 using namespace waxwingvale::decision;
 
 TEST_CASE("a request that would complete too late is refused at once") {
-    // One slot, 20 ms a request: of many with 200 ms to go only the first
-    // few can be served. Those told later than at once would have lost the
-    // time in which they could go elsewhere.
+    // One slot serves a request in 20 ms, so that only the first few of many
+    // requests with 200 ms left can be served. If the others were refused only
+    // later, their callers would lose time in which they could try elsewhere.
     scheduler_fixture f(1, 1, 1);
     std::size_t refused = 0;
     for (request_id id = 1; id <= 30; ++id) {
@@ -23,45 +23,47 @@
     CHECK(f.scheduler().queued() <= 10);
 }
 
-TEST_CASE("refused callers get moments at the rate of the slots") {
-    // All devices wake on the hour. Told the same moment, they would all be
-    // back then; told longer than needed, the slots would stand idle.
+TEST_CASE("refused requests are told to return at the rate of the slots") {
+    // All devices wake on the hour. If refused callers were told the same time,
+    // they would all return at once; if they were told longer times than
+    // needed, the slots would be idle.
     scheduler_fixture f(1, 1, 1);
-    std::set<duration> moments;
+    std::set<duration> retry_times;
     for (request_id id = 1; id <= 130; ++id) {
         f.arrive(id, 200ms);
         for (const refuse_request& refused : f.all<refuse_request>()) {
-            moments.insert(refused.come_back_in);
+            retry_times.insert(refused.come_back_in);
         }
     }
-    CHECK(moments.size() >= 120);
-    const duration span = *moments.rbegin() - *moments.begin();
-    CHECK(span == 20ms * (static_cast<int>(moments.size()) - 1));
+    CHECK(retry_times.size() >= 120);
+    const duration span = *retry_times.rbegin() - *retry_times.begin();
+    CHECK(span == 20ms * (static_cast<int>(retry_times.size()) - 1));
 }
 
-TEST_CASE("moments stay within the horizon and apart") {
+TEST_CASE("retry times stay within the horizon and differ") {
     scheduler_fixture f(1, 1, 1);
-    std::set<duration> moments;
+    std::set<duration> retry_times;
     for (request_id id = 1; id <= 5000; ++id) {
         f.arrive(id, 200ms);
         for (const refuse_request& refused : f.all<refuse_request>()) {
-            moments.insert(refused.come_back_in);
+            retry_times.insert(refused.come_back_in);
             CHECK(refused.come_back_in < 31s);
         }
     }
-    CHECK(moments.size() > 4900);
+    CHECK(retry_times.size() > 4900);
 }
 
-TEST_CASE("with an idle slot no request is refused for its estimate") {
-    // Estimates that are too high must not lock out what would correct them.
+TEST_CASE("with an idle slot no request is refused for its estimated time") {
+    // An estimate that is too high is corrected only by further answers, so it
+    // must not keep requests from free slots.
     scheduler_fixture f(1, 1, 1);
     f.arrive(1, 1ms);
     CHECK(f.all<start_request>().size() == 1);
 }
 
-TEST_CASE("a deadline that has passed is never started") {
-    // The process was stopped for a second; the slot is free, but the caller
-    // has long given up.
+TEST_CASE("a request is not started after its deadline") {
+    // The process did not run for a second. The slot is free again, but the
+    // caller has given up.
     scheduler_fixture f(1, 1, 1);
     f.arrive(1);
     f.arrive(2, 500ms);
@@ -72,7 +74,7 @@
     CHECK(f.all<expire_request>()[0].request == 2);
 }
 
-TEST_CASE("the most urgent waiting request goes first") {
+TEST_CASE("the most urgent queued request starts first") {
     scheduler_fixture f(1, 1, 1);
     f.arrive(1);
     f.arrive(2, 900ms);
@@ -82,7 +84,7 @@
     CHECK(f.all<start_request>()[0].request == 3);
 }
 
-TEST_CASE("a class waits in no greater number than the file allows") {
+TEST_CASE("the configured queue limit of a class is enforced") {
     scheduler_fixture f(1, 1, 1);
     configuration config = *f.view.config;
     config.services[0].classes[0].queue_limit = 2;
@@ -96,9 +98,9 @@
     CHECK(f.all<refuse_request>()[0].reason == refusal_reason::queue_full);
 }
 
-TEST_CASE("tenants share the slots by weight when all have work waiting") {
-    // One tenant floods the service. Without shares, those that ask for a few
-    // requests would wait behind all of its own.
+TEST_CASE("tenants get slots by weight when all have requests queued") {
+    // One tenant floods the service. Without shares, the few requests of other
+    // tenants would wait behind all of its requests.
     scheduler_fixture f(1, 1, 1);
     request_id next = 1;
     f.arrive(next++);
@@ -107,7 +109,7 @@
         event.tenant = i < 100 ? "league" : "desk"; // shares 1 and 3
         f.send(event);
     }
-    std::map<bool, int> served; // by whether "desk"
+    std::map<bool, int> served; // true: of tenant "desk"
     request_id running = 1;
     for (int i = 0; i < 100; ++i) {
         f.finish(running);
@@ -119,8 +121,8 @@
     CHECK(served[true] <= 85);
 }
 
-TEST_CASE("a request that must not run twice waits for no stale view") {
-    // The process woke up late and may act on an old view of the fleet.
+TEST_CASE("an at-most-once request is refused while the view is stale") {
+    // The process woke up late and its view of the fleet may be outdated.
     scheduler_fixture f(1, 1, 1);
     f.view.fresh = false;
     f.apply_view();
@@ -146,9 +148,10 @@
     CHECK(f.all<refuse_request>()[0].reason == refusal_reason::no_spare_slot);
 }
 
-TEST_CASE("routes of former configurations leave room for new ones") {
-    // Routes come and go all day. If those that are gone took the places of
-    // new ones, the file's limits would no longer hold for these.
+TEST_CASE("classes of removed routes leave room for those of new routes") {
+    // Routes are added and removed all day, and the number of classes is
+    // limited. If removed routes kept their places, the configured limits would
+    // not be applied to new ones.
     scheduler_fixture f(1, 1, 1);
     for (int revision = 0; revision < 1200; ++revision) {
         route added;
@@ -164,9 +167,9 @@
     }
     std::size_t refused = 0;
     for (request_id id = 1; id <= 3; ++id) {
-        request_arrived of_newest = f.request(id);
-        of_newest.request_class = "route-1199";
-        f.send(of_newest);
+        request_arrived event = f.request(id);
+        event.request_class = "route-1199";
+        f.send(event);
         refused += f.all<refuse_request>().size();
     }
     CHECK(refused == 1);
--- a/test/scheduling/comparison_test.cpp
+++ b/test/scheduling/comparison_test.cpp
@@ -16,33 +16,32 @@
 
 } // namespace
 
-// These run in model time: the same figures on every machine.
+// These tests run in simulated time and give the same figures on every machine.
 
-TEST_CASE("owners together come near the ideal queue") {
-    const run_figures ours =
+TEST_CASE("several owners perform nearly as well as one ideal queue") {
+    const run_figures waxwing =
         run("bramblewood", "steady-70", unhedged_policy_name);
-    const run_figures ideal = run("bramblewood", "steady-70", "ideal-queue");
-    const run_figures lone = run("bramblewood", "steady-70", "least-in-flight");
-    CHECK(ours.p99_ms < 1.1 * ideal.p99_ms);
-    CHECK(ours.p50_ms < 1.1 * ideal.p50_ms);
-    CHECK(lone.p50_ms > 1.2 * ours.p50_ms);
+    const run_figures ideal_queue = run("bramblewood", "steady-70", "ideal-queue");
+    const run_figures least_in_flight = run("bramblewood", "steady-70", "least-in-flight");
+    CHECK(waxwing.p99_ms < 1.1 * ideal_queue.p99_ms);
+    CHECK(waxwing.p50_ms < 1.1 * ideal_queue.p50_ms);
+    CHECK(least_in_flight.p50_ms > 1.2 * waxwing.p50_ms);
 }
 
-TEST_CASE("above capacity the slots go on serving in time") {
-    // On Friday three times as many calls come as the slots can serve. Were
-    // they queued until too late, the slots would work for answers that
-    // nobody waits for any more.
+TEST_CASE("above capacity the slots serve requests before their deadlines") {
+    // Three times as many calls arrive as the slots can serve. If they were
+    // queued too long, the slots would be spent on answers after the deadline.
     for (const char* user : {"cooperative", "bramblewood"}) {
-        const run_figures ours = run(user, "surge-3x", waxwing_policy_name);
-        CHECK(ours.of_capacity > 0.94);
-        CHECK(ours.failed < 0.01);
-        CHECK(ours.spread < 3.0);
+        const run_figures waxwing = run(user, "surge-3x", waxwing_policy_name);
+        CHECK(waxwing.of_capacity > 0.94);
+        CHECK(waxwing.failed < 0.01);
+        CHECK(waxwing.spread < 3.0);
     }
 }
 
-TEST_CASE("a straggler is passed over") {
+TEST_CASE("a straggler hardly raises the 99th percentile of latency") {
     // A noisy neighbour makes one backend server of ten eight times slower.
-    // Callers sent there would wait eight times as long.
+    // Requests sent there would take eight times as long.
     const run_figures without =
         run("bramblewood", "steady-70", unhedged_policy_name);
     const run_figures with =
@@ -51,61 +50,62 @@
 }
 
 TEST_CASE("a backend server that fails fast does not attract calls") {
-    // It answers each request with an error within a millisecond, so that it
-    // always has the fewest in flight.
-    const run_figures ours =
+    // The server answers each request with an error within a millisecond and so
+    // always has the fewest requests in flight.
+    const run_figures waxwing =
         run("bramblewood", "failing-fast", waxwing_policy_name);
-    CHECK(ours.retries < 0.01);
-    CHECK(ours.goodput > 0.999);
+    CHECK(waxwing.retries < 0.01);
+    CHECK(waxwing.goodput > 0.999);
 }
 
-TEST_CASE("the loss of an owner costs only what it had in flight") {
-    // An owner stops without a word. Its callers go to their next address,
-    // and its slots are used by share until they have a new owner.
-    const run_figures ours =
+TEST_CASE("the loss of an owner costs only its requests in flight") {
+    // An owner stops without notice. Its callers use their next address, and
+    // the other instances use shares of its slots until there is a new owner.
+    const run_figures waxwing =
         run("bramblewood", "owner-lost", waxwing_policy_name);
-    CHECK(ours.goodput > 0.99);
+    CHECK(waxwing.goodput > 0.99);
 }
 
 TEST_CASE("on shared machines nearly all are answered in time") {
     // Backend servers are four times slower for a quarter or a third of the
-    // time. Chosen by who has the fewest requests, one caller in six or more
-    // waits longer than the target.
+    // time. With the choice by fewest requests in flight, one call in six or
+    // more misses its target.
     for (const char* user : {"cooperative-shared", "bramblewood-shared"}) {
-        const run_figures ours = run(user, "steady-70", waxwing_policy_name);
-        const run_figures lone = run(user, "steady-70", "least-in-flight");
+        const run_figures waxwing = run(user, "steady-70", waxwing_policy_name);
+        const run_figures least_in_flight = run(user, "steady-70", "least-in-flight");
         INFO(user);
-        CHECK(ours.in_time > 0.97);
-        CHECK(lone.in_time < 0.85);
+        CHECK(waxwing.in_time > 0.97);
+        CHECK(least_in_flight.in_time < 0.85);
     }
 }
 
-TEST_CASE("on shared machines far above capacity answers still are in time") {
-    // Three times as many calls come as the servers can serve. First come,
-    // first served, all of them would be late; here most of what the servers
-    // can do is answered in time, and the others are told at once.
+TEST_CASE("on shared machines far above capacity many still are in time") {
+    // Three times as many calls arrive as the servers can serve. In order of
+    // arrival all of them would be late. Here most of the servers' capacity
+    // goes into answers in time, and the other calls are refused at once.
     for (const char* user : {"cooperative-shared", "bramblewood-shared"}) {
         service_size size = size_of(user);
         size.owners = 1;
         const workload load =
             make_workload("surge-3x", size, 1, duration(6000000));
-        const run_figures ours = run_one(load, waxwing_policy_name, {});
-        const run_figures lone = run_one(load, "least-in-flight", {});
+        const run_figures waxwing = run_one(load, waxwing_policy_name, {});
+        const run_figures least_in_flight = run_one(load, "least-in-flight", {});
         INFO(user);
-        CHECK(ours.in_time > 0.35);
-        CHECK(lone.in_time < 0.05);
-        CHECK(ours.failed < 0.01);
+        CHECK(waxwing.in_time > 0.35);
+        CHECK(least_in_flight.in_time < 0.05);
+        CHECK(waxwing.failed < 0.01);
     }
 }
 
-TEST_CASE("who knows the future earns most") {
-    // Its figure is the limit that every mechanism is measured against: were it
-    // below ours, the model or that policy would be wrong.
+TEST_CASE("the clairvoyant policy earns at least as much as the scheduler") {
+    // The clairvoyant policy knows the future, and its figure is the upper
+    // limit that others are compared with. A lower figure than the scheduler's
+    // would show a fault of the simulation or of that policy.
     for (const char* scenario : {"steady-85", "rush", "surge-3x"}) {
-        const run_figures ours =
+        const run_figures waxwing =
             run("mixed-shared", scenario, waxwing_policy_name);
-        const run_figures most = run("mixed-shared", scenario, "clairvoyant");
-        CHECK(most.worth >= ours.worth);
-        CHECK(most.worth <= 1);
+        const run_figures clairvoyant = run("mixed-shared", scenario, "clairvoyant");
+        CHECK(clairvoyant.worth >= waxwing.worth);
+        CHECK(clairvoyant.worth <= 1);
     }
 }
--- a/test/scheduling/late_burst_test.cpp
+++ b/test/scheduling/late_burst_test.cpp
@@ -15,24 +15,24 @@
 constexpr unsigned servers = 108;
 constexpr unsigned slots = 3;
 
-// What callers got.
+// Numbers of requests by their result for the caller.
 struct outcome {
     unsigned in_time = 0;
     unsigned late = 0;
     unsigned refused = 0;
 };
 
-// An owner that has just started, of servers that take 1.7 times as long for
-// what begins when all of their slots are busy. Callers who waited for the
-// owner come first, all at once and too late for their target; the others come
-// steadily, and there is room for them.
+// Simulates an owner that has just started. Its servers take 1.7 times as long
+// for a request that takes their last free slot. First, a burst of requests
+// arrives from callers that waited for the owner and whose targets have already
+// passed. The other requests arrive steadily, and the slots could serve them.
 class burst_after_start {
 public:
     explicit burst_after_start(unsigned seed)
         : scheduler_("view", {"one", 1}), random_(seed) {
         configuration config;
-        service of;
-        of.name = "view";
+        service service_config;
+        service_config.name = "view";
         view_changed view;
         slot_owner self{{"one", 1}, "sea", {}, servers * slots};
         for (unsigned i = 0; i < servers; ++i) {
@@ -41,16 +41,16 @@
             server.data_centre = "sea";
             server.slots = slots;
             self.backend_servers.push_back(server.name);
-            of.backend_servers.push_back(std::move(server));
+            service_config.backend_servers.push_back(std::move(server));
         }
-        config.services = {of};
+        config.services = {service_config};
         view.config = std::make_shared<const configuration>(config);
         view.owners.service = "view";
         view.owners.owners = {self};
-        member made;
-        made.id = {"one", 1};
-        made.data_centre = "sea";
-        view.members = {made};
+        member self_member;
+        self_member.id = {"one", 1};
+        self_member.data_centre = "sea";
+        view.members = {self_member};
         send(view);
     }
 
@@ -68,7 +68,7 @@
             arrive(each.is_late);
         }
         run_until(now_ + 10s);
-        return seen_;
+        return outcome_;
     }
 
 private:
@@ -83,15 +83,15 @@
     };
 
     void arrive(bool is_late) {
-        request_arrived made;
-        made.request = ++last_;
-        made.tenant = "any";
-        made.request_class = "reads";
-        made.nature = request_nature::retriable;
-        made.deadline = now_ + 3s;
-        made.target = is_late ? now_ - 500ms : now_ + 500ms;
-        targets_[made.request] = *made.target;
-        send(made);
+        request_arrived event;
+        event.request = ++last_request_;
+        event.tenant = "any";
+        event.request_class = "reads";
+        event.nature = request_nature::retriable;
+        event.deadline = now_ + 3s;
+        event.target = is_late ? now_ - 500ms : now_ + 500ms;
+        targets_[event.request] = *event.target;
+        send(event);
     }
 
     void send(const scheduler_event& event) {
@@ -102,7 +102,7 @@
                 begin(*start);
             } else if (std::holds_alternative<refuse_request>(action) ||
                        std::holds_alternative<expire_request>(action)) {
-                ++seen_.refused;
+                ++outcome_.refused;
             }
         }
     }
@@ -111,20 +111,21 @@
         unsigned& busy = busy_[start.backend_server];
         ++busy;
         std::lognormal_distribution<double> work(std::log(0.19), 0.3);
-        const double pace = pace_of(start.backend_server);
+        const double slowness = slowness_of(start.backend_server);
         const double seconds =
-            work(random_) * pace * (busy == slots ? 1.7 : 1.0);
+            work(random_) * slowness * (busy == slots ? 1.7 : 1.0);
         const auto took = std::chrono::duration_cast<duration>(
             std::chrono::duration<double>(seconds));
         running_[start.request] = {start.backend_server, now_ + took, took};
         ends_.push({now_ + took, start.request});
     }
 
-    // For three tenths of the time, in turns of 300 ms, it works at a quarter.
-    double pace_of(const std::string& server) const {
-        const auto turn = now_.time_since_epoch() / 300ms;
+    // Factor of the server's service times: 4 in three tenths of the intervals
+    // of 300 ms, otherwise 1.
+    double slowness_of(const std::string& server) const {
+        const auto interval = now_.time_since_epoch() / 300ms;
         const auto draw =
-            stable_hash(server, static_cast<std::uint64_t>(turn)) % 10;
+            stable_hash(server, static_cast<std::uint64_t>(interval)) % 10;
         return draw < 3 ? 4.0 : 1.0;
     }
 
@@ -140,18 +141,19 @@
         probe();
     }
 
-    // Each server that the owner wants to hear of tells its load.
+    // Reports the load of each server that the owner wants to be probed.
     void probe() {
-        if (now_ - probed_ < 25ms) {
+        if (now_ - last_probes_ < 25ms) {
             return;
         }
-        probed_ = now_;
+        last_probes_ = now_;
         for (const auto& server : scheduler_.unheard(now_)) {
-            probe_ended told;
-            told.backend_server = server;
-            told.answered = true;
-            told.load = backend_load{busy_[server], 0, slots, pace_of(server)};
-            send(told);
+            probe_ended event;
+            event.backend_server = server;
+            event.answered = true;
+            event.load =
+                backend_load{busy_[server], 0, slots, slowness_of(server)};
+            send(event);
         }
     }
 
@@ -160,37 +162,38 @@
         running_.erase(request);
         unsigned& busy = busy_[ended.server];
         --busy;
-        (now_ <= targets_.at(request) ? seen_.in_time : seen_.late) += 1;
-        request_finished told;
-        told.request = request;
-        told.service_time = ended.took;
-        told.load = backend_load{busy, 0, slots, pace_of(ended.server)};
-        send(told);
+        (now_ <= targets_.at(request) ? outcome_.in_time : outcome_.late) += 1;
+        request_finished event;
+        event.request = request;
+        event.service_time = ended.took;
+        event.load = backend_load{busy, 0, slots, slowness_of(ended.server)};
+        send(event);
     }
 
     using ending = std::pair<time_point, request_id>;
 
     service_scheduler scheduler_;
     time_point now_{};
-    time_point probed_{};
-    request_id last_ = 0;
+    time_point last_probes_{};
+    request_id last_request_ = 0;
     std::mt19937 random_;
     std::vector<arrival> arrivals_;
     std::map<std::string, unsigned> busy_;
     std::map<request_id, running> running_;
     std::map<request_id, time_point> targets_;
     std::priority_queue<ending, std::vector<ending>, std::greater<>> ends_;
-    outcome seen_;
+    outcome outcome_;
 };
 
 } // namespace
 
-TEST_CASE("callers who come late leave most of those in time their answer") {
-    // All instances lost power, and those who waited come at once. Guards
-    // against an owner that serves them first and everybody late.
+TEST_CASE("a burst of late requests leaves most others answered in time") {
+    // After a power loss of all instances, the callers that waited all return
+    // at once. Guards against an owner that serves their late requests first
+    // and thereby makes all others late as well.
     const auto seed = GENERATE(1U, 2U, 3U, 4U, 5U);
-    const auto seen = burst_after_start(seed).play();
-    INFO("in time " << seen.in_time << ", late " << seen.late);
-    CHECK(seen.in_time > 500); // of 800
-    CHECK(seen.late > 300);
+    const auto result = burst_after_start(seed).play();
+    INFO("in time " << result.in_time << ", late " << result.late);
+    CHECK(result.in_time > 500); // of 800
+    CHECK(result.late > 300);
 }
--- a/test/scheduling/priority_test.cpp
+++ b/test/scheduling/priority_test.cpp
@@ -12,13 +12,13 @@
 
 request_arrived of_priority(const scheduler_fixture& f, request_id id,
                             unsigned priority, duration target) {
-    request_arrived made = f.request(id);
-    made.priority = priority;
-    made.target = f.now + target;
-    return made;
+    request_arrived event = f.request(id);
+    event.priority = priority;
+    event.target = f.now + target;
+    return event;
 }
 
-// One slot, and requests of 20 ms that were seen often enough to be known.
+// One slot, and enough answers to know that requests take 20 ms.
 scheduler_fixture one_slot() {
     scheduler_fixture f(1, 1, 1);
     for (request_id id = 100000; id < 100040; ++id) {
@@ -31,10 +31,10 @@
 
 } // namespace
 
-TEST_CASE("of requests that wait the higher priority goes first") {
-    // Reads and bookings share the servers. A booking has the longer target, so
-    // that by urgency alone each read would go before it, and at one and a half
-    // times the capacity every other booking came too late.
+TEST_CASE("queued requests of higher priority start first") {
+    // Reads and bookings share the servers, and bookings have the longer
+    // target. By urgency alone each read would start before them, and at one
+    // and a half times the capacity every other booking was answered too late.
     scheduler_fixture f = one_slot();
     f.send(of_priority(f, 1, 2, 900ms));
     f.send(of_priority(f, 2, 2, 500ms));
@@ -49,9 +49,9 @@
     CHECK(f.all<start_request>()[0].request == 2);
 }
 
-TEST_CASE("a read that bookings leave no room for is refused at once") {
-    // Bookings alone keep the only slot busy. A read that were let in would
-    // wait for its target in vain, and its caller could have gone elsewhere.
+TEST_CASE("a read that higher priorities leave no slot is refused at once") {
+    // Bookings alone keep the only slot busy. A read that was admitted would
+    // miss its target in the queue, while its caller could try elsewhere.
     scheduler_fixture f = one_slot();
     request_id next = 1;
     for (int i = 0; i < 40; ++i) {
@@ -65,9 +65,9 @@
                       [&](const auto& each) { return each.request == read; }));
 }
 
-TEST_CASE("no priority is left without any slot") {
-    // Bookings that come all the while are enough for every slot. Reads that
-    // were let in before would wait until they are given up.
+TEST_CASE("no priority is starved of slots") {
+    // Bookings keep arriving at a rate that fills every slot. By priority
+    // alone, reads admitted before them would wait until they expire.
     scheduler_fixture f = one_slot();
     for (request_id id = 1; id <= 9; ++id) {
         f.send(of_priority(f, id, 2, 5s));
@@ -87,21 +87,22 @@
 }
 
 TEST_CASE("above capacity bookings are served no worse than reads") {
-    // Three seconds of 1.6 times what the slots can serve, and ten of 1.5
-    // times. What callers get for bookings, which rank higher, must not be less
-    // than what they get for reads, and reads must not be shut out.
+    // Overloads of 1.6 times the capacity for three seconds, and of 1.5 and 3
+    // times for ten. Bookings have the higher priority, so their answers must
+    // not earn a smaller share of their value than those of reads; and reads
+    // must not be starved.
     for (const char* scenario : {"rush", "surge-1.5x", "surge-3x"}) {
         for (const std::uint64_t seed : {1U, 2U, 3U}) {
             const auto load = replay::make_workload(
                 scenario, replay::size_of("mixed-shared"), seed, 10s);
-            const auto ours =
+            const auto figures =
                 replay::run_one(load, replay::waxwing_policy_name, {});
-            REQUIRE(ours.worth_by_class.size() == 2);
-            const double reads = ours.worth_by_class[0];
-            const double bookings = ours.worth_by_class[1];
+            REQUIRE(figures.worth_by_class.size() == 2);
+            const double reads = figures.worth_by_class[0];
+            const double bookings = figures.worth_by_class[1];
             INFO(scenario << ": reads " << reads << ", bookings " << bookings);
             CHECK(bookings >= reads);
-            CHECK(reads >= ours.worth / 4);
+            CHECK(reads >= figures.worth / 4);
         }
     }
 }
--- a/test/scheduling/random_events_test.cpp
+++ b/test/scheduling/random_events_test.cpp
@@ -14,11 +14,11 @@
 constexpr unsigned slots = 2;
 constexpr unsigned own_servers = 2;
 
-// Drives one scheduler with random events and keeps its own account of what
-// the scheduler's actions mean.
-class event_storm {
+// Sends random events to one scheduler, and checks its actions against an
+// independent record of waiting requests, running attempts and grants.
+class random_event_test {
 public:
-    event_storm() : fixture_(servers, slots, own_servers) {
+    random_event_test() : fixture_(servers, slots, own_servers) {
         fixture_.link_peer();
     }
 
@@ -43,13 +43,13 @@
             peer_asks();
             break;
         case 9:
-            peer_gives();
+            peer_grants();
             break;
         case 10:
             peer_returns();
             break;
         case 11:
-            change_something();
+            change_view();
             break;
         case 12:
             probe_ends();
@@ -57,13 +57,14 @@
         }
     }
 
-    // Lets everything end: all attempts finish, all grants come back.
+    // Finishes all attempts, returns all grants, lets all deadlines pass, and
+    // checks that nothing is left over.
     void drain() {
         while (!running_.empty()) {
             finish(running_.begin()->first, attempt_verdict::answered);
         }
-        while (!given_.empty()) {
-            give_back(given_.begin()->first);
+        while (!granted_.empty()) {
+            return_to_owner(granted_.begin()->first);
         }
         fixture_.now += duration(100000000);
         deliver(time_passed{});
@@ -125,7 +126,7 @@
         event.verdict = verdict;
         event.service_time = duration(20000);
         if (*rc::gen::arbitrary<bool>()) {
-            event.load = backend_load{1, 0, slots, some_slowness()};
+            event.load = backend_load{1, 0, slots, random_slowness()};
         }
         deliver(event);
         if (!ended.from_peer.empty()) {
@@ -142,7 +143,7 @@
         deliver(request_cancelled{request});
     }
 
-    static double some_slowness() {
+    static double random_slowness() {
         return *rc::gen::element(0.5, 1.0, 4.0, 30.0);
     }
 
@@ -174,12 +175,12 @@
             *rc::gen::element<std::string>("a", "b", "c", "gone");
         event.answered = *rc::gen::arbitrary<bool>();
         if (event.answered) {
-            event.load = backend_load{1, 0, slots, some_slowness()};
+            event.load = backend_load{1, 0, slots, random_slowness()};
         }
         deliver(event);
     }
 
-    void peer_gives() {
+    void peer_grants() {
         const grant_id grant = next_grant_++;
         const std::string server =
             *rc::gen::element<std::string>("c", "d", "gone");
@@ -198,13 +199,13 @@
     }
 
     void peer_returns() {
-        if (!given_.empty()) {
-            give_back(given_.begin()->first);
+        if (!granted_.empty()) {
+            return_to_owner(granted_.begin()->first);
         }
     }
 
-    void give_back(grant_id grant) {
-        given_.erase(grant);
+    void return_to_owner(grant_id grant) {
+        granted_.erase(grant);
         grant_returned event;
         event.peer = "entry-1";
         event.grant = grant;
@@ -215,7 +216,7 @@
         deliver(event);
     }
 
-    void change_something() {
+    void change_view() {
         switch (*rc::gen::inRange(0, 4)) {
         case 0:
             deliver(peer_reachability{"entry-1", *rc::gen::arbitrary<bool>()});
@@ -244,10 +245,10 @@
     }
 
     void deliver(const scheduler_event& event) {
-        end_leases();
+        expire_leases();
         fixture_.send(event);
         for (const scheduler_action& action : fixture_.actions) {
-            std::visit([this](const auto& known) { check(known); }, action);
+            std::visit([this](const auto& each) { check(each); }, action);
         }
     }
 
@@ -260,21 +261,22 @@
         return false;
     }
 
-    // The scheduler ends leases before it looks at an event.
-    void end_leases() {
-        for (auto it = given_.begin(); it != given_.end();) {
-            const bool over = it->second.second <= fixture_.now;
-            it = over ? given_.erase(it) : std::next(it);
+    // Mirrors the scheduler, which ends expired leases before it handles an
+    // event.
+    void expire_leases() {
+        for (auto it = granted_.begin(); it != granted_.end();) {
+            const bool expired = it->second.second <= fixture_.now;
+            it = expired ? granted_.erase(it) : std::next(it);
         }
     }
 
     unsigned in_use(const std::string& server) const {
         unsigned used = 0;
-        for (const auto& known : running_) {
-            used += known.second.server == server ? 1 : 0;
+        for (const auto& each : running_) {
+            used += each.second.server == server ? 1 : 0;
         }
-        for (const auto& known : given_) {
-            used += known.second.first == server ? 1 : 0;
+        for (const auto& each : granted_) {
+            used += each.second.first == server ? 1 : 0;
         }
         return used;
     }
@@ -317,13 +319,13 @@
         RC_ASSERT(action.backend_server == "a" || action.backend_server == "b");
         RC_ASSERT(!vetoed(action.backend_server));
         RC_ASSERT(in_use(action.backend_server) < slots);
-        const bool fresh_number =
-            given_
+        const bool unused_number =
+            granted_
                 .emplace(action.grant,
                          std::make_pair(action.backend_server,
                                         fixture_.now + action.lease))
                 .second;
-        RC_ASSERT(fresh_number);
+        RC_ASSERT(unused_number);
     }
 
     void check(const return_grant& action) {
@@ -340,23 +342,24 @@
     grant_id next_grant_ = 1;
     std::map<request_id, request_arrived> waiting_;
     std::map<request_id, attempt> running_;
-    std::map<grant_id, std::pair<std::string, time_point>> given_;
-    std::set<grant_id> returned_;
+    // Slots granted to the peer: backend server and end of the lease.
+    std::map<grant_id, std::pair<std::string, time_point>> granted_;
+    std::set<grant_id> returned_; // by the scheduler to the peer
 };
 
 } // namespace
 
-TEST_CASE("slots and requests add up whatever the order of events") {
-    // Answers, cancellations, grants and changes of the view come in any
-    // order. Were one miscounted, users would meet slots that are lost for
-    // good, slots given twice, or calls that never end.
+TEST_CASE("slots and requests are accounted for in any order of events") {
+    // Answers, cancellations, grants and view changes arrive in any order. If
+    // one were miscounted, slots would be lost for good or used twice, or calls
+    // would never end.
     const bool holds = rc::check("accounting holds", [] {
-        event_storm storm;
+        random_event_test test;
         const int steps = *rc::gen::inRange(1, 200);
         for (int i = 0; i < steps; ++i) {
-            storm.step();
+            test.step();
         }
-        storm.drain();
+        test.drain();
     });
     CHECK(holds);
 }
--- a/test/scheduling/removed_service_test.cpp
+++ b/test/scheduling/removed_service_test.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// The next configuration does not name the service.
-void take_away(scheduler_fixture& f) {
+// Applies a configuration that does not name the service.
+void remove_service(scheduler_fixture& f) {
     configuration without = *f.view.config;
     without.services.clear();
     f.view.config = std::make_shared<const configuration>(without);
@@ -19,9 +19,9 @@
 
 } // namespace
 
-TEST_CASE("what waits for a service that is taken away is refused at once") {
-    // The operator takes a service out of the configuration. No slot of it
-    // comes any more, and whoever waits on would learn that at its deadline.
+TEST_CASE("requests queued for a service are refused when it is removed") {
+    // The operator removes a service from the configuration. No slot of it will
+    // become free, and without a refusal callers would wait until the deadline.
     scheduler_fixture f(1, 1, 1);
     f.arrive(1);
     f.arrive(2);
@@ -36,7 +36,7 @@
     CHECK(f.scheduler().in_flight() == 0);
 }
 
-TEST_CASE("what waits for a peer's slot of a removed service is refused too") {
+TEST_CASE("requests waiting for a peer's slot are refused on removal too") {
     scheduler_fixture f(1, 1, 0);
     f.link_peer();
     f.arrive(1);
@@ -47,21 +47,21 @@
     CHECK(f.scheduler().queued() == 0);
 }
 
-TEST_CASE("a removed service takes no second attempt, and is as it was after") {
-    // A call was on its way when the service was taken away, and its attempt
-    // is lost. The service comes back with the next configuration.
+TEST_CASE("a removed service starts nothing, and keeps its state on return") {
+    // A request arrives while the configuration does not name the service. The
+    // next configuration names it again, with requests still running.
     scheduler_fixture f(2, 1, 2);
-    const auto whole = f.view;
+    const auto original_view = f.view;
     f.arrive(1);
     f.arrive(2);
-    const auto lost = f.scheduler().slots();
-    take_away(f);
+    const auto slots_before = f.scheduler().slots();
+    remove_service(f);
     f.arrive(3);
     REQUIRE(f.all<refuse_request>().size() == 1);
     CHECK(f.all<refuse_request>()[0].request == 3);
-    f.view = whole;
+    f.view = original_view;
     f.apply_view();
-    CHECK(f.scheduler().slots() == lost);
+    CHECK(f.scheduler().slots() == slots_before);
     f.arrive(4);
     CHECK(f.all<start_request>().empty());
     f.finish(1);
--- a/test/scheduling/scheduler_fixture.hpp
+++ b/test/scheduling/scheduler_fixture.hpp
@@ -8,25 +8,26 @@
 
 namespace waxwingvale::decision {
 
-// A scheduler of entry instance "entry-0" with a service of a few backend
-// servers, and the actions it returned.
+// A scheduler of entry instance "entry-0" for a service with a few backend
+// servers, named "a", "b" and so on.
 class scheduler_fixture {
 public:
-    std::vector<scheduler_action> actions;
+    std::vector<scheduler_action> actions; // returned for the last event
     view_changed view;
     time_point now{};
 
-    // "entry-0" owns the first own servers, "entry-1" the others.
-    scheduler_fixture(unsigned servers, unsigned slots, unsigned own)
+    // "entry-0" owns the first `own_servers` servers, "entry-1" the others.
+    // Each server has `slots` slots.
+    scheduler_fixture(unsigned servers, unsigned slots, unsigned own_servers)
         : scheduler_("slate-view", {"entry-0", 1}) {
         configuration config;
-        service of;
-        of.name = "slate-view";
-        of.typical_time = duration(20000);
+        service service_config;
+        service_config.name = "slate-view";
+        service_config.typical_time = duration(20000);
         request_class reads{"reads", {"GET"}, "/", request_nature::retriable,
                             {},      0};
-        of.classes = {reads};
-        view.owners.service = of.name;
+        service_config.classes = {reads};
+        view.owners.service = service_config.name;
         view.owners.owners = {{{"entry-0", 1}, "sea", {}, 0},
                               {{"entry-1", 1}, "sea", {}, 0}};
         for (unsigned i = 0; i < servers; ++i) {
@@ -34,18 +35,18 @@
             server.name = std::string(1, static_cast<char>('a' + i));
             server.data_centre = "sea";
             server.slots = slots;
-            of.backend_servers.push_back(server);
-            slot_owner& owner = view.owners.owners[i < own ? 0 : 1];
+            service_config.backend_servers.push_back(server);
+            slot_owner& owner = view.owners.owners[i < own_servers ? 0 : 1];
             owner.backend_servers.push_back(server.name);
             owner.slots += slots;
         }
-        config.services = {of};
+        config.services = {service_config};
         config.tenants = {{"league", 1}, {"desk", 3}};
         for (int i = 0; i < 2; ++i) {
-            member made;
-            made.id = {"entry-" + std::to_string(i), 1};
-            made.data_centre = "sea";
-            view.members.push_back(made);
+            member instance;
+            instance.id = {"entry-" + std::to_string(i), 1};
+            instance.data_centre = "sea";
+            view.members.push_back(instance);
         }
         view.config = std::make_shared<const configuration>(config);
         apply_view();
@@ -64,13 +65,13 @@
 
     request_arrived request(request_id id,
                             duration remaining = duration(1000000)) const {
-        request_arrived made;
-        made.request = id;
-        made.tenant = "league";
-        made.request_class = "reads";
-        made.nature = request_nature::retriable;
-        made.deadline = now + remaining;
-        return made;
+        request_arrived event;
+        event.request = id;
+        event.tenant = "league";
+        event.request_class = "reads";
+        event.nature = request_nature::retriable;
+        event.deadline = now + remaining;
+        return event;
     }
 
     void arrive(request_id id, duration remaining = duration(1000000)) {
@@ -92,7 +93,7 @@
         send(time_passed{});
     }
 
-    // The actions of one kind that the last event gave.
+    // The actions of one kind that were returned for the last event.
     template <typename Action>
     std::vector<Action> all() const {
         std::vector<Action> found;
--- a/test/scheduling/start_test.cpp
+++ b/test/scheduling/start_test.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// A service of routes, as the platform has it: no class of its own, and a
-// target that the operator promises.
-scheduler_fixture routed(unsigned servers, unsigned slots) {
+// A service without classes of its own, to which a route with a target leads,
+// as on a platform that routes by host and path.
+scheduler_fixture service_with_route(unsigned servers, unsigned slots) {
     scheduler_fixture f(servers, slots, servers);
     configuration config = *f.view.config;
     config.services[0].typical_time = duration::zero();
@@ -29,19 +29,19 @@
 }
 
 request_arrived lookup(const scheduler_fixture& f, request_id id) {
-    request_arrived made = f.request(id, 800ms);
-    made.request_class = "lookups";
-    made.target = f.now + 240ms;
-    return made;
+    request_arrived event = f.request(id, 800ms);
+    event.request_class = "lookups";
+    event.target = f.now + 240ms;
+    return event;
 }
 
 } // namespace
 
-TEST_CASE("before any answer, work is taken for a third of its target") {
-    // An instance that has just started lets in as many requests as it believes
-    // its servers to serve in time. Taken for 20 ms, requests of 100 ms were
-    // let in five times too many, and waited until they were refused.
-    scheduler_fixture f = routed(1, 1);
+TEST_CASE("before any answer, a third of the target is the service time") {
+    // A newly started instance admits as many requests as it expects its
+    // servers to serve in time. When it assumed 20 ms for requests that took
+    // 100 ms, it admitted five times too many, which were refused only later.
+    scheduler_fixture f = service_with_route(1, 1);
     std::size_t refused = 0;
     for (request_id id = 1; id <= 20; ++id) {
         f.send(lookup(f, id));
@@ -51,20 +51,22 @@
     CHECK(refused >= 15);
 }
 
-TEST_CASE("before any answer, none is taken for slow at once") {
-    // A second copy of each request, sent before its first can have been
-    // answered, doubles the work of all servers when everybody comes back.
-    scheduler_fixture f = routed(1, 1);
+TEST_CASE("before any answer, requests do not count as slow too early") {
+    // If a second copy of each request was sent before the first could have
+    // been answered, the load of all servers would double just when all callers
+    // return after an outage.
+    scheduler_fixture f = service_with_route(1, 1);
     f.send(lookup(f, 1));
     REQUIRE(f.all<start_request>().size() == 1);
     CHECK(f.all<start_request>()[0].slow_after > 100ms);
 }
 
-TEST_CASE("slots that others use too are counted in part") {
+TEST_CASE("slots shared with other instances are counted in part") {
     // No owner is known yet, and each of some dozen instances may use one slot
-    // of each server. Counted whole, each would take late requests as well, and
-    // the servers get several times what they have slots for.
-    scheduler_fixture f = routed(12, 1);
+    // of each server. If each counted these slots in full, it would admit late
+    // requests as well, and the servers would get several times more requests
+    // than they have slots.
+    scheduler_fixture f = service_with_route(12, 1);
     f.view.introduced = false;
     f.view.owners.owners.clear();
     f.apply_view();
@@ -72,11 +74,11 @@
     CHECK(f.scheduler().load(f.now).prompt_slots < 2);
 }
 
-TEST_CASE("a rush is known for one from its first moments") {
-    // Everybody comes back at once. Compared with a time that has not passed
-    // yet, the first hundred requests look like few, and slots that those in
-    // time need are given to those that are late already.
-    scheduler_fixture f = routed(1, 1);
+TEST_CASE("the arrival rate is right from the start of a rush") {
+    // All callers return at once. If the first hundred requests were divided by
+    // a full averaging period of which only a part has passed, the rate would
+    // look low, and late requests would get slots that requests in time need.
+    scheduler_fixture f = service_with_route(1, 1);
     for (request_id id = 1; id <= 60; ++id) {
         f.send(lookup(f, id));
         f.now += 5ms;
@@ -86,10 +88,10 @@
     CHECK(load.arrivals_per_second < 250);
 }
 
-TEST_CASE("who lends no slots tells no far moment to come back") {
-    // A caller with little time left reaches an instance that borrows slots. It
-    // knows nothing of what the owners have to do; told half a minute, the
-    // caller stays away for nothing.
+TEST_CASE("an instance without slots tells refused callers a short time") {
+    // A request with little time left arrives on an instance that owns no slots
+    // and does not know the owners' backlog. If the caller were told to return
+    // after half a minute, it would stay away longer than needed.
     scheduler_fixture f(2, 2, 0);
     f.link_peer();
     for (request_id id = 1; id <= 40; ++id) {
--- a/test/scheduling/trace_test.cpp
+++ b/test/scheduling/trace_test.cpp
@@ -15,11 +15,11 @@
 
 } // namespace
 
-TEST_CASE("a recorded trace replays to its stated outcome") {
+TEST_CASE("a recorded trace replays to its recorded outcome") {
     // Recorded by: waxwing-replay record two-at-once.trace.jsonl
-    // --user=small --scenario=two-at-once --seconds=0.3. A change of the
-    // decisions changes the outcome; it is then recorded anew, and the commit
-    // says why.
+    // --user=small --scenario=two-at-once --seconds=0.3. If a change of the
+    // scheduler's decisions changes the outcome, record the trace again and
+    // give the reason in the commit message.
     std::ifstream file(WAXWING_TEST_DATA "/two-at-once.trace.jsonl");
     REQUIRE(file);
     const auto verdict = replay_trace(file, {});
@@ -41,14 +41,14 @@
     }
 }
 
-TEST_CASE("a trace that is cut off is named with its line") {
-    // A disk filled up while the trace was recorded. Replayed as if it were
-    // whole, it would seem to agree.
-    std::stringstream whole;
-    record_trace(whole, small_workload("steady-50"), {});
-    const std::string text = whole.str();
-    std::stringstream cut(text.substr(0, text.size() / 2));
-    const auto verdict = replay_trace(cut, {});
+TEST_CASE("a truncated trace is an error that names the line") {
+    // The disk filled up while the trace was recorded. If the trace were
+    // replayed as a complete one, the outcome would seem to agree.
+    std::stringstream complete;
+    record_trace(complete, small_workload("steady-50"), {});
+    const std::string text = complete.str();
+    std::stringstream truncated(text.substr(0, text.size() / 2));
+    const auto verdict = replay_trace(truncated, {});
     REQUIRE(!verdict.has_value());
     CHECK(verdict.error().code == error_code::malformed);
     CHECK(verdict.error().peer.find("line ") == 0);
--- a/test/scheduling/unchanged_view_test.cpp
+++ b/test/scheduling/unchanged_view_test.cpp
@@ -11,27 +11,28 @@
 
 namespace {
 
-// Two schedulers that get the same events; one of them also gets views that
-// say nothing new. Both are to decide the same.
-class twins {
+// Two schedulers that get the same events, and one of them also unchanged
+// views. Checks that both decide the same.
+class scheduler_pair {
 public:
-    twins(unsigned seed, unsigned own_servers)
+    scheduler_pair(unsigned seed, unsigned own_servers)
         : random_(seed),
           with_targets_(seed % 2 == 0),
-          plain_(4, 2, own_servers),
-          told_(4, 2, own_servers) {
-        budgets(plain_);
-        budgets(told_);
-        both(peer_reachability{"entry-1", true});
+          reference_(4, 2, own_servers),
+          repeated_(4, 2, own_servers) {
+        set_budgets(reference_);
+        set_budgets(repeated_);
+        send_both(peer_reachability{"entry-1", true});
     }
 
     void step() {
-        // So long that what waits looks at all slots again by itself.
-        plain_.now += duration(10000 + below(30000));
-        told_.now = plain_.now;
+        // At least scheduling_policy::recheck, so that queued requests consider
+        // all slots again even without a new view.
+        reference_.now += duration(10000 + below(30000));
+        repeated_.now = reference_.now;
         answer_asks();
-        both(time_passed{});
-        tell_nothing_new();
+        send_both(time_passed{});
+        repeat_view();
         const unsigned kind = below(10);
         if (kind < 4) {
             arrive();
@@ -42,7 +43,8 @@
         } else if (kind == 8) {
             peer_returns();
         } else {
-            both(probe_ended{server(), below(5) != 0, some_load()});
+            send_both(probe_ended{random_server(), below(5) != 0,
+                                  random_load()});
         }
     }
 
@@ -50,38 +52,41 @@
     std::size_t refused() const { return refused_; }
     std::size_t lent() const { return lent_; }
     std::size_t borrowed() const { return borrowed_; }
-    const scheduler_fixture& plain() const { return plain_; }
-    const scheduler_fixture& told() const { return told_; }
+    // The scheduler without repeated views.
+    const scheduler_fixture& reference() const { return reference_; }
+    // The scheduler that also gets unchanged views.
+    const scheduler_fixture& repeated() const { return repeated_; }
 
 private:
-    static void budgets(scheduler_fixture& of) {
-        configuration config = *of.view.config;
+    static void set_budgets(scheduler_fixture& fixture) {
+        configuration config = *fixture.view.config;
         config.services[0].budgets.repeats = 0.1;
         config.services[0].budgets.repeat_extra = 4;
-        of.view.config = std::make_shared<const configuration>(config);
-        of.apply_view();
+        fixture.view.config = std::make_shared<const configuration>(config);
+        fixture.apply_view();
     }
 
     unsigned below(unsigned bound) { return random_() % bound; }
-    std::string server() {
+    std::string random_server() {
         return std::string(1, static_cast<char>('a' + below(4)));
     }
-    backend_load some_load() {
+    backend_load random_load() {
         return {below(3), 0, 2, below(4) == 0 ? 4.0 : 1.0};
     }
 
-    // A configuration of its own, as each newer one is, that says the same.
-    void tell_nothing_new() {
-        told_.view.config =
-            std::make_shared<const configuration>(*told_.view.config);
-        told_.apply_view();
-        CHECK(without_wakes(told_).empty());
+    // Sends the same view again, with a copy of the configuration, since every
+    // newer configuration is a new object.
+    void repeat_view() {
+        repeated_.view.config =
+            std::make_shared<const configuration>(*repeated_.view.config);
+        repeated_.apply_view();
+        CHECK(without_wakes(repeated_).empty());
     }
 
     static std::vector<scheduler_action>
-    without_wakes(const scheduler_fixture& of) {
+    without_wakes(const scheduler_fixture& fixture) {
         std::vector<scheduler_action> actions;
-        for (const scheduler_action& each : of.actions) {
+        for (const scheduler_action& each : fixture.actions) {
             if (!std::holds_alternative<wake_at>(each)) {
                 actions.push_back(each);
             }
@@ -89,32 +94,32 @@
         return actions;
     }
 
-    void both(const scheduler_event& event) {
-        plain_.send(event);
-        told_.send(event);
-        REQUIRE(without_wakes(plain_) == without_wakes(told_));
-        for (const start_request& each : plain_.all<start_request>()) {
-            running_[each.request] = plain_.now;
+    void send_both(const scheduler_event& event) {
+        reference_.send(event);
+        repeated_.send(event);
+        REQUIRE(without_wakes(reference_) == without_wakes(repeated_));
+        for (const start_request& each : reference_.all<start_request>()) {
+            running_[each.request] = reference_.now;
             ++started_;
         }
-        for (const ask_slots& each : plain_.all<ask_slots>()) {
+        for (const ask_slots& each : reference_.all<ask_slots>()) {
             asks_.push_back(each);
         }
-        for (const give_grant& each : plain_.all<give_grant>()) {
-            given_.push_back(each);
+        for (const give_grant& each : reference_.all<give_grant>()) {
+            granted_.push_back(each);
             ++lent_;
         }
-        refused_ += plain_.all<refuse_request>().size();
+        refused_ += reference_.all<refuse_request>().size();
     }
 
     void arrive() {
-        request_arrived made = plain_.request(next_++, duration(200000));
-        made.attempt = below(5) == 0 ? 2 : 1;
-        made.tenant = below(2) == 0 ? "league" : "desk";
+        request_arrived event = reference_.request(next_++, duration(200000));
+        event.attempt = below(5) == 0 ? 2 : 1;
+        event.tenant = below(2) == 0 ? "league" : "desk";
         if (with_targets_) {
-            made.target = plain_.now + duration(100000);
+            event.target = reference_.now + duration(100000);
         }
-        both(made);
+        send_both(event);
     }
 
     void finish_one() {
@@ -129,59 +134,60 @@
                         : how == 1 ? attempt_verdict::failed
                         : how == 2 ? attempt_verdict::timed_out
                                    : attempt_verdict::answered;
-        ended.service_time = plain_.now - first->second;
-        ended.load = some_load();
+        ended.service_time = reference_.now - first->second;
+        ended.load = random_load();
         running_.erase(first);
-        both(ended);
+        send_both(ended);
     }
 
-    // The other owner lends a slot, or has none, but is never silent.
+    // The other owner grants a slot or answers that it has none, but never
+    // leaves a request for slots unanswered.
     void answer_asks() {
-        for (const ask_slots& asked : std::exchange(asks_, {})) {
-            const bool lends = !asked.waiting.empty() && below(2) == 0;
+        for (const ask_slots& ask : std::exchange(asks_, {})) {
+            const bool lends = !ask.waiting.empty() && below(2) == 0;
             if (lends) {
-                grant_received given;
-                given.peer = "entry-1";
-                given.grant = next_++;
-                given.request = asked.waiting.front().request;
-                given.backend_server = "d";
-                given.lease = duration(1000000);
-                both(given);
+                grant_received event;
+                event.peer = "entry-1";
+                event.grant = next_++;
+                event.request = ask.waiting.front().request;
+                event.backend_server = "d";
+                event.lease = duration(1000000);
+                send_both(event);
                 ++borrowed_;
             } else {
-                both(ask_answered{"entry-1", below(2), true, {}});
+                send_both(ask_answered{"entry-1", below(2), true, {}});
             }
         }
     }
 
     void peer_asks() {
-        slots_asked asked;
-        asked.peer = "entry-1";
-        waiting_request waits;
-        static_cast<request_needs&>(waits) = plain_.request(0);
-        waits.request = next_++;
-        waits.time_left = duration(200000);
-        asked.waiting = {waits};
-        both(asked);
+        slots_asked ask;
+        ask.peer = "entry-1";
+        waiting_request waiting;
+        static_cast<request_needs&>(waiting) = reference_.request(0);
+        waiting.request = next_++;
+        waiting.time_left = duration(200000);
+        ask.waiting = {waiting};
+        send_both(ask);
     }
 
     void peer_returns() {
-        if (given_.empty()) {
+        if (granted_.empty()) {
             return;
         }
         grant_use use;
         use.service_time = duration(20000);
-        both(grant_returned{"entry-1", given_.front().grant, use});
-        given_.erase(given_.begin());
+        send_both(grant_returned{"entry-1", granted_.front().grant, use});
+        granted_.erase(granted_.begin());
     }
 
     std::mt19937 random_;
     bool with_targets_;
-    scheduler_fixture plain_;
-    scheduler_fixture told_;
+    scheduler_fixture reference_;
+    scheduler_fixture repeated_;
     request_id next_ = 1;
     std::map<request_id, time_point> running_;
-    std::vector<give_grant> given_;
+    std::vector<give_grant> granted_;
     std::vector<ask_slots> asks_;
     std::size_t started_ = 0;
     std::size_t refused_ = 0;
@@ -191,9 +197,10 @@
 
 } // namespace
 
-TEST_CASE("a view that says nothing new changes no decision") {
-    // Newer configurations and news of others come many times a second. What
-    // is learned, paused, waited for or granted must not begin anew with each.
+TEST_CASE("an unchanged view changes no decision") {
+    // New views, caused by new configurations or updates of peers, arrive many
+    // times a second. Measurements, pauses, waiting times and grants must not
+    // start again with each.
     std::size_t started = 0;
     std::size_t refused = 0;
     std::size_t lent = 0;
@@ -201,14 +208,14 @@
     for (unsigned seed = 1; seed <= 60; ++seed) {
         const unsigned own_servers = 2 * (seed % 3); // none, a half, all
         CAPTURE(seed, own_servers);
-        twins pair(seed, own_servers);
+        scheduler_pair pair(seed, own_servers);
         for (int i = 0; i < 500; ++i) {
             pair.step();
         }
-        CHECK(pair.plain().scheduler().slots() ==
-              pair.told().scheduler().slots());
-        CHECK(pair.plain().scheduler().queued() ==
-              pair.told().scheduler().queued());
+        CHECK(pair.reference().scheduler().slots() ==
+              pair.repeated().scheduler().slots());
+        CHECK(pair.reference().scheduler().queued() ==
+              pair.repeated().scheduler().queued());
         started += pair.started();
         refused += pair.refused();
         lent += pair.lent();
--- a/test/scheduling/worth_ledger_test.cpp
+++ b/test/scheduling/worth_ledger_test.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-TEST_CASE("worth is told by class and by the two worst windows") {
+TEST_CASE("worth is reported in total, by class and by the worst windows") {
     worth_ledger ledger;
     for (int at = 0; at < 8; ++at) {
         ledger.owed(0, second(at), 1);
@@ -28,11 +28,12 @@
     CHECK(ledger.share() == Approx(13. / 24));
     CHECK(ledger.of_class(0) == Approx(1));
     CHECK(ledger.worst_class() == Approx(5. / 16));
-    // Two seconds each: 6, 3, 2 and 2 of 6.
+    // The windows of two seconds each earned 6, 3, 2 and 2 of 6; the result is
+    // the mean of the two worst.
     CHECK(ledger.worst_windows() == Approx(1. / 3));
 }
 
-TEST_CASE("nothing owed is nothing lost") {
+TEST_CASE("a ledger without entries reports the full share") {
     const worth_ledger ledger;
     CHECK(ledger.share() == 1);
     CHECK(ledger.worst_windows() == 1);
