--- a/include/waxwingvale/decision/retry_policy.hpp
+++ b/include/waxwingvale/decision/retry_policy.hpp
@@ -47,8 +47,8 @@
 
 struct retry_limits {
     double fraction = 0.1; // of first attempts; from the service's budgets
-    double burst = 10;      // most tokens of the budget
-    unsigned attempts = 3;  // per request, the first included
+    double burst = 10;     // most tokens of the budget
+    unsigned attempts = 3; // per request, the first included
     duration come_back_in = std::chrono::milliseconds(200);
 };
 
--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -106,11 +106,12 @@
     }
 }
 
-void admission::configure_class(const service& config, const request_class& configured) {
+void admission::configure_class(const service& config,
+                                const request_class& configured) {
     const bool first = classes_.empty() && all_.rough.samples() == 0;
     if (classes_.count(configured.name) == 0 && classes_.size() < max_classes) {
-        const auto fresh =
-            new_record(expected_time(config, configured), policy_.admission_quantile);
+        const auto fresh = new_record(expected_time(config, configured),
+                                      policy_.admission_quantile);
         classes_.emplace(configured.name, fresh);
         all_ = first ? fresh : all_;
     }
--- a/src/decision/admission.hpp
+++ b/src/decision/admission.hpp
@@ -75,7 +75,8 @@
     duration next_appointment(duration backlog, double slots, time_point now);
 
 private:
-    void configure_class(const service& config, const request_class& configured);
+    void configure_class(const service& config,
+                         const request_class& configured);
     void forget_all_but(const std::vector<const request_class*>& configured);
     class_record* record_of(const std::string& request_class);
     const latency_estimator& estimator(const std::string& name) const;
--- a/src/decision/request_queue.hpp
+++ b/src/decision/request_queue.hpp
@@ -32,7 +32,7 @@
     time_point arrived_at{};
     time_point latest_start{}; // starting it later is useless
     std::string peer;          // that received it; empty: this instance
-    time_point told_at{}; // when the peer last confirmed that it is queued
+    time_point told_at{};      // when the peer last confirmed that it is queued
 
     request_origin origin() const { return {peer, arrival.request}; }
 };
--- a/src/decision/service_scheduler_impl.hpp
+++ b/src/decision/service_scheduler_impl.hpp
@@ -150,7 +150,7 @@
     scheduling_policy policy_;
     time_point now_{};
     action_list* actions_ = nullptr; // set while an event is handled
-    view_changed view_; // the last one whose configuration names the service
+    view_changed view_;    // the last one whose configuration names the service
     bool removed_ = false; // the current configuration does not name it
     // Peers with a working link, and those of them that are owners but leave
     // requests for slots unanswered.
--- a/test/scheduling/unchanged_view_test.cpp
+++ b/test/scheduling/unchanged_view_test.cpp
@@ -43,8 +43,8 @@
         } else if (kind == 8) {
             peer_returns();
         } else {
-            send_both(probe_ended{random_server(), below(5) != 0,
-                                  random_load()});
+            send_both(
+                probe_ended{random_server(), below(5) != 0, random_load()});
         }
     }
 
