--- a/include/waxwingvale/decision/retry_policy.hpp
+++ b/include/waxwingvale/decision/retry_policy.hpp
@@ -72,8 +72,8 @@
     const attempt_budget& budget() const { return budget_; }
 
 private:
-    std::optional<give_up_reason> obstacle(const failed_attempt& failed,
-                                           time_point now) const;
+    std::optional<give_up_reason>
+    reason_against_retry(const failed_attempt& failed, time_point now) const;
 
     retry_limits limits_;
     attempt_budget budget_;
