--- a/src/decision/service_scheduler_impl.hpp
+++ b/src/decision/service_scheduler_impl.hpp
@@ -20,7 +20,7 @@
 
 namespace waxwingvale::decision {
 
-// The parts of a service_scheduler and how events pass through them.
+// Holds the parts of a service_scheduler and passes events through them.
 class service_scheduler::impl {
 public:
     impl(std::string service, member_id self, const scheduling_policy& policy);
@@ -28,7 +28,7 @@
     void handle(const scheduler_event& event, time_point now,
                 std::vector<scheduler_action>& actions);
 
-    std::size_t queued() const { return queue_.size() + late_.size(); }
+    std::size_t queued() const { return queue_.size() + late_queue_.size(); }
     std::size_t in_flight() const { return running_.size(); }
     bool has_spare_slot() const;
     scheduler_load load(time_point now) const;
@@ -42,18 +42,18 @@
     struct running_request {
         std::string request_class;
         std::string backend_server;
-        attempt_ref attempt = 0; // on an own slot
+        attempt_ref attempt = 0; // 0: on a slot leased from a peer
         time_point started_at{};
         backend_incarnation incarnation = 0;
-        std::string from_peer;
+        std::string from_peer; // empty: the slot is not leased
         grant_id grant = 0;
     };
 
-    // Among which servers a waiting request looks for a slot; none: all.
-    using slot_choice = std::optional<std::vector<slot_table::index>>;
+    // The servers on which queued requests look for a slot; none: all servers.
+    using candidate_servers = std::optional<std::vector<slot_table::index>>;
 
-    // How an attempt ended, here or at a peer.
-    struct attempt_end {
+    // An attempt that ended, on this instance or on a peer that leased a slot.
+    struct finished_attempt {
         std::string backend_server;
         std::string request_class;
         attempt_ref attempt = 0;
@@ -73,95 +73,99 @@
     void on(const time_passed& event);
 
     // scheduler_requests.cpp
-    bool refuse_at_once(const request_arrived& request);
+    bool refuse_if_impossible(const request_arrived& request);
     void admit(queued_request entry);
     void enqueue(queued_request entry);
     void enqueue_late(queued_request entry);
-    void place(const queued_request& entry, slot_table::index at);
+    void assign_slot(const queued_request& entry, slot_table::index at);
     void start(const queued_request& entry, slot_table::index at);
     duration slow_after(const queued_request& entry,
                         slot_table::index at) const;
-    void turn_down(const queued_request& entry, refusal_reason reason);
-    void turn_down_all();
+    void decline(const queued_request& entry, refusal_reason reason);
+    void decline_all();
     void refuse(request_id request, refusal_reason reason);
-    bool place_now(const queued_request& entry);
-    bool runs_stale(const request_arrived& request) const;
-    // Whether it is decided here when what waits here is started.
-    bool decides() const { return table_.has_slots(); }
+    bool try_assign_slot(const queued_request& entry);
+    bool blocked_by_stale_view(const request_arrived& request) const;
+    // Whether this instance may use slots of its own or a share of the slots of
+    // other owners. If not, owners decide when the requests queued here start.
+    bool has_usable_slots() const { return table_.has_slots(); }
     duration backlog() const;
     double spare_slots() const;
     double slots_for(const request_arrived& request) const;
-    duration next_appointment();
+    duration next_retry_delay();
     double tolerated_loss(const queued_request& entry) const;
     slot_wish wish_of(const queued_request& entry) const;
-    time_point in_time_until(const request_arrived& request) const;
+    time_point latest_start_within_target(const request_arrived& request) const;
     std::optional<work_forecast> forecast_of(const queued_request& entry) const;
-    bool started_again(const running_request& ended) const;
-    void learn(const attempt_end& ended);
+    bool server_restarted(const running_request& ended) const;
+    void record_result(const finished_attempt& ended);
 
     // scheduler_dispatch.cpp
     void drop_overdue();
     void drop_overdue_late();
     void dispatch();
-    void dispatch_from(request_queue& queue, const slot_choice& slots);
-    bool owners_are_more_urgent() const;
-    bool dispatch_one(request_queue& queue, const slot_choice& slots,
-                      std::vector<queued_request>& parked);
+    void dispatch_from(request_queue& queue, const candidate_servers& slots);
+    bool other_owners_are_more_urgent() const;
+    bool dispatch_one(request_queue& queue, const candidate_servers& slots,
+                      std::vector<queued_request>& skipped);
 
     // scheduler_grants.cpp
     void admit_from_peer(const std::string& peer,
                          const waiting_request& waiting);
-    bool knows(const request_origin& origin) const;
+    bool is_queued(const request_origin& origin) const;
     void admit_from_owner(queued_request entry);
-    void keep_only(const std::string& peer, const std::set<request_id>& kept);
-    void forget(const request_origin& origin);
-    bool forgotten(const queued_request& entry) const;
+    void retain_queued(const std::string& peer,
+                       const std::set<request_id>& kept);
+    void remove_queued(const request_origin& origin);
+    bool confirmation_expired(const queued_request& entry) const;
     std::string data_centre_of(const std::string& peer) const;
     void grant(const queued_request& entry, slot_table::index at);
     void answer_peers();
     bool start_on_grant(const grant_received& grant);
-    std::optional<queued_request> take_for(const grant_received& grant);
+    std::optional<queued_request> take_request_for(const grant_received& grant);
     bool suits(const queued_request& entry, const grant_received& grant) const;
     void return_unused(const grant_received& grant);
-    void end_leases();
-    void borrow();
+    void end_expired_leases();
+    void ask_lenders();
     waiting_request describe(request_id request) const;
-    bool takes_part(const std::string& peer) const;
-    void hear(const std::string& peer);
-    void hear_of_owner(const std::string& peer);
+    bool is_owner_or_standby(const std::string& peer) const;
+    void note_message_from(const std::string& peer);
+    void note_owner_message_from(const std::string& peer);
     void apply_reachability();
-    void watch_silence();
-    void look_for_silent();
+    void detect_unresponsive_owners();
+    void check_unresponsive_owners();
 
-    // What is to be told to a peer once the event is handled.
+    // The answer due to a peer at the end of the current event.
     struct peer_reply {
-        bool asked = false;   // and is to hear something
-        bool granted = false; // and so has heard something
+        bool asked = false;   // the peer asked, so that it must get an answer
+        bool granted = false; // a grant was sent, which serves as the answer
         std::vector<declined_request> declined;
     };
 
-    void limit_repeats();
-    void settle();
-    void wake();
+    void update_repeat_limits();
+    void after_event();
+    void request_wake_up();
 
     std::string service_;
     member_id self_;
     scheduling_policy policy_;
     time_point now_{};
-    action_list* actions_ = nullptr; // while an event is handled
-    view_changed view_;              // the last that names the service
-    bool removed_ = false;           // by a later one
-    // Peers with a working link, and of those the owners without answers.
-    std::unordered_set<std::string> linked_;
-    silent_owners silent_;
+    action_list* actions_ = nullptr; // set while an event is handled
+    view_changed view_; // the last one whose configuration names the service
+    bool service_removed_ = false; // the current configuration does not name it
+    // Peers with a working link, and those of them that are owners but leave
+    // requests for slots unanswered.
+    std::unordered_set<std::string> linked_peers_;
+    silent_owners unresponsive_owners_;
     slot_table table_;
-    // What is to be answered in time, and what can only be answered late: it
-    // gets the slots that nothing else needs.
+    // Requests that can still meet their target or deadline, and requests that
+    // can only be answered after their target. The latter get the slots that
+    // nothing else needs.
     request_queue queue_;
-    request_queue late_;
-    // What other owners have no slots for at the moment.
-    request_queue of_owners_;
-    offered_load offered_;
+    request_queue late_queue_;
+    // Requests of other owners that have no free slots at the moment.
+    request_queue other_owners_queue_;
+    offered_load offered_load_;
     repeat_budget repeats_;
     admission admission_;
     grant_lender lender_;
@@ -169,10 +173,10 @@
     std::map<std::string, peer_reply> replies_;
     std::unordered_map<request_id, running_request> running_;
     std::optional<time_point> wake_at_;
-    // When what waits looks at all servers again, rather than at those of
-    // which something is new.
-    time_point whole_look_at_{};
-    std::uint64_t turned_down_ = 0;
+    // When queued requests consider all servers again, rather than only those
+    // whose state has changed.
+    time_point next_full_scan_at_{};
+    std::uint64_t refused_ = 0;
 };
 
 } // namespace waxwingvale::decision
