--- a/include/waxwingvale/decision/retry_policy.hpp
+++ b/include/waxwingvale/decision/retry_policy.hpp
@@ -37,10 +37,10 @@
 const char* to_string(give_up_reason reason);
 
 // Answer the caller now with what is known. The caller may send the request
-// again after come_back_in.
+// again after retry_after.
 struct give_up {
     give_up_reason reason = give_up_reason::may_have_run;
-    duration come_back_in{};
+    duration retry_after{};
 };
 
 using retry_decision = std::variant<retry_elsewhere, give_up>;
@@ -49,7 +49,7 @@
     double fraction = 0.1; // of first attempts; from the service's budgets
     double burst = 10;     // most tokens of the budget
     unsigned attempts = 3; // per request, the first included
-    duration come_back_in = std::chrono::milliseconds(200);
+    duration retry_after = std::chrono::milliseconds(200);
 };
 
 // Decides, for one service, whether a failed attempt is retried.
--- a/include/waxwingvale/decision/scheduler_actions.hpp
+++ b/include/waxwingvale/decision/scheduler_actions.hpp
@@ -39,11 +39,11 @@
 };
 
 // Answer "not run" now. The caller may send the request again after
-// come_back_in.
+// retry_after.
 struct refuse_request {
     request_id request = 0;
     refusal_reason reason = refusal_reason::too_late;
-    duration come_back_in{};
+    duration retry_after{};
     // The owner that declined to grant a slot; empty: refused by this instance.
     std::string declined_by;
 };
@@ -58,8 +58,8 @@
     std::string peer;
     std::vector<waiting_request> waiting;
     std::vector<request_id> withdrawn;
-    bool whole = false;
-    bool wants_word = false;
+    bool complete = false;
+    bool answer_required = false;
 };
 
 // Answer a peer that asked for slots. It receives ask_answered.
--- a/include/waxwingvale/decision/scheduler_events.hpp
+++ b/include/waxwingvale/decision/scheduler_events.hpp
@@ -51,7 +51,7 @@
     bool fresh = true;
     // False while the other instances are unknown, so that instances not in
     // `members` may use the same backend servers.
-    bool introduced = true;
+    bool members_known = true;
 };
 
 // Whether messages reach the peer. A peer without any such event counts as
@@ -118,17 +118,17 @@
     std::vector<request_id> withdrawn;
     // True if `waiting` replaces everything that the peer named before: other
     // requests of the peer no longer need a slot from this instance.
-    bool whole = false;
+    bool complete = false;
     // True if the peer expects an answer even with no request queued. The peer
     // got no answer before, or the answer that this instance is no owner, and
     // asks again until this instance acts as an owner.
-    bool wants_word = false;
+    bool answer_required = false;
 };
 
 // A request for which an owner will not have a slot in time.
 struct declined_request {
     request_id request = 0;
-    duration come_back_in{}; // time after which it may be sent again
+    duration retry_after{}; // time after which it may be sent again
 };
 
 // Answer of a peer that was asked for slots and granted none.
--- a/include/waxwingvale/decision/scheduling_policy.hpp
+++ b/include/waxwingvale/decision/scheduling_policy.hpp
@@ -32,7 +32,7 @@
     // Usable slots after a backend server refused a request.
     double shed_decrease = 0.7; // factor for the number of usable slots
     // Most rounds of answers that are required before one more slot is used.
-    unsigned caution_max = 64;
+    unsigned slot_growth_rounds_max = 64;
     // Time without requests after a refusal, doubled with each refusal.
     duration shed_pause_min{5000};
     duration shed_pause_max{200000};
--- a/include/waxwingvale/decision/service_scheduler.hpp
+++ b/include/waxwingvale/decision/service_scheduler.hpp
@@ -70,7 +70,7 @@
     scheduler_load load(time_point now) const;
     // Backend servers owned by this instance that have not reported their load
     // for so long that they should be probed.
-    std::vector<std::string> unheard(time_point now) const;
+    std::vector<std::string> servers_to_probe(time_point now) const;
 
 private:
     class impl;
--- a/include/waxwingvale/entry/caller_answer.hpp
+++ b/include/waxwingvale/entry/caller_answer.hpp
@@ -22,16 +22,16 @@
 } // namespace status
 
 // When nothing better is known of when an answer will be possible.
-constexpr duration come_back_default = std::chrono::seconds(1);
+constexpr duration retry_after_default = std::chrono::seconds(1);
 // And when a backend server refused although it had free slots: there is
 // nothing to wait for. Time enough for the callers refused in one turn of the
 // loop to come apart.
-constexpr duration come_back_to_room = std::chrono::milliseconds(10);
+constexpr duration retry_after_refusal = std::chrono::milliseconds(10);
 
 // And before the first configuration is known. An instance of half a core reads
 // it within 90 ms of its start (from its logs, among 123 that start together);
 // callers who are told a second have their answers late.
-constexpr duration come_back_to_started = std::chrono::milliseconds(100);
+constexpr duration retry_after_start = std::chrono::milliseconds(100);
 
 // An answer that no backend server gave.
 struct own_answer {
@@ -39,7 +39,7 @@
     run_outcome outcome = run_outcome::not_run;
     std::string reason; // a fixed word, also for logs
     std::string detail; // for people, in the body
-    std::optional<duration> come_back_in;
+    std::optional<duration> retry_after;
 };
 
 } // namespace waxwingvale::entry
--- a/include/waxwingvale/model/view.hpp
+++ b/include/waxwingvale/model/view.hpp
@@ -44,7 +44,7 @@
     std::vector<evacuated_server> evacuated_servers;
     bool fresh = false; // false until word from platform or a peer has come
     // False while nobody has told which other entry instances there are.
-    bool introduced = true;
+    bool members_known = true;
 };
 
 using view_ptr = std::shared_ptr<const view>;
--- a/src/control/view_publisher.cpp
+++ b/src/control/view_publisher.cpp
@@ -23,7 +23,7 @@
     return a.self == b.self && a.config == b.config && a.members == b.members &&
            a.beliefs == b.beliefs && a.quarantined == b.quarantined &&
            a.evacuations == b.evacuations && a.fresh == b.fresh &&
-           a.introduced == b.introduced;
+           a.members_known == b.members_known;
 }
 
 backend_server server_of(const membership::registry_record& record,
@@ -149,7 +149,7 @@
     }
     made.quarantined = known_.quarantine.fingerprints();
     made.fresh = known_.fresh.fresh();
-    made.introduced = introduced_;
+    made.members_known = members_known_;
     return made;
 }
 
@@ -157,14 +157,14 @@
 // then, callers would get "unknown" for keys that name instances it has not
 // heard of, and perhaps an old configuration.
 bool view_publisher::knows_enough() const {
-    return introduced_ ||
+    return members_known_ ||
            (known_.fresh.fresh() && known_.configurations.in_force() &&
             timers_.now() - started_ >= introduction_hope);
 }
 
-bool view_publisher::publish(bool introduced) {
-    introduced_ = introduced_ || introduced ||
-                  timers_.now() - started_ >= introduction_wait;
+bool view_publisher::publish(bool members_known) {
+    members_known_ = members_known_ || members_known ||
+                     timers_.now() - started_ >= introduction_wait;
     if (!last_ && !knows_enough()) {
         return false;
     }
--- a/src/control/view_publisher.hpp
+++ b/src/control/view_publisher.hpp
@@ -20,7 +20,7 @@
     // Publishes a new view if anything differs from the last one. The first
     // one waits until a peer has told what it knows, or for a bounded time.
     // Returns whether a view was published.
-    bool publish(bool introduced);
+    bool publish(bool members_known);
 
     const view_ptr& last_view() const { return last_; }
     // Empty before the first view.
@@ -38,7 +38,7 @@
     std::shared_ptr<const decision::service_ownerships> owners_ =
         std::make_shared<const decision::service_ownerships>();
     time_point started_;
-    bool introduced_ = false; // or waited for long enough
+    bool members_known_ = false; // or waited for long enough
     // The configuration with the servers registered at that version.
     configuration_ptr combined_from_;
     std::uint64_t combined_version_ = 0;
--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -190,7 +190,7 @@
     work_forecast forecast;
     forecast.typical_log = time.typical_log();
     forecast.log_spread = time.log_spread();
-    forecast.left_log =
+    forecast.time_left_log =
         std::log(static_cast<double>(std::max(left, duration(1)).count()));
     return forecast;
 }
@@ -198,10 +198,10 @@
 time_point
 admission::latest_start_within_target(const std::string& request_class,
                                       time_point target,
-                                      double busy_log_factor) const {
+                                      double saturated_log_slowdown) const {
     const latency_estimator& time = estimator_of(request_class);
     const double service_time_us =
-        std::exp(time.typical_log() + busy_log_factor +
+        std::exp(time.typical_log() + saturated_log_slowdown +
                  policy_.target_margin_deviations * time.log_spread());
     return target - duration(static_cast<duration::rep>(service_time_us));
 }
@@ -214,9 +214,9 @@
     return estimator_of(request_class).mean();
 }
 
-double admission::relative_log(const std::string& request_class,
-                               duration sample) const {
-    return estimator_of(request_class).relative_log(sample);
+double admission::log_ratio_to_typical(const std::string& request_class,
+                                       duration sample) const {
+    return estimator_of(request_class).log_ratio_to_typical(sample);
 }
 
 time_point admission::latest_start(const request_arrived& request,
@@ -225,7 +225,8 @@
     // time left, half of the requests would complete too late and waste their
     // slots.
     const duration to_spare =
-        request.deadline - estimator_of(request.request_class).high() - now;
+        request.deadline - estimator_of(request.request_class).high_quantile() -
+        now;
     return now + duration(static_cast<duration::rep>(
                      policy_.max_queueing_share *
                      static_cast<double>(to_spare.count())));
--- a/src/decision/admission.hpp
+++ b/src/decision/admission.hpp
@@ -46,8 +46,8 @@
 
     duration typical_time(const std::string& request_class) const;
     duration mean_time(const std::string& request_class) const;
-    double relative_log(const std::string& request_class,
-                        duration sample) const;
+    double log_ratio_to_typical(const std::string& request_class,
+                                duration sample) const;
     // Whether the class has enough reliable samples to judge other service
     // times by them.
     bool baseline_known(const std::string& request_class) const;
@@ -60,7 +60,7 @@
     // that are slower by the given factor because they are busy.
     time_point latest_start_within_target(const std::string& request_class,
                                           time_point target,
-                                          double busy_log_factor) const;
+                                          double saturated_log_slowdown) const;
     // The latest start at which the request is still worth running.
     time_point latest_start(const request_arrived& request,
                             time_point now) const;
--- a/src/decision/backend_slots.cpp
+++ b/src/decision/backend_slots.cpp
@@ -117,7 +117,8 @@
     const auto kept = static_cast<unsigned>(usable_ * policy.shed_decrease);
     usable_ = std::max(kept, 1U);
     answers_since_change_ = 0;
-    growth_rounds_ = std::min(growth_rounds_ * 2, policy.caution_max);
+    growth_rounds_ =
+        std::min(growth_rounds_ * 2, policy.slot_growth_rounds_max);
 }
 
 // A server that has just refused a request would probably refuse the next one,
--- a/src/decision/grant_borrower.cpp
+++ b/src/decision/grant_borrower.cpp
@@ -68,7 +68,7 @@
                                    time_point now,
                                    std::vector<scheduler_action>& actions) {
     ask_slots message;
-    message.whole = true;
+    message.complete = true;
     for (const request_id request : waiting_) {
         if (!send_changes_ && message.waiting.size() == policy_.ask_limit) {
             break; // slots of this instance serve the others sooner
@@ -114,7 +114,7 @@
         if (!target.pending.empty()) {
             ask_slots empty;
             empty.peer = target.name;
-            empty.whole = true;
+            empty.complete = true;
             actions.emplace_back(std::move(empty));
         }
         target.asked = false;
@@ -165,7 +165,7 @@
     }
 }
 
-void grant_borrower::heard(const std::string& peer) {
+void grant_borrower::message_received(const std::string& peer) {
     if (lender* from = find(peer)) {
         from->answered = true;
     }
@@ -197,7 +197,7 @@
     from->pending.erase(request);
     from->declined.insert(request);
     duration& longest = retry_delays_[request];
-    longest = std::max(longest, declined.come_back_in);
+    longest = std::max(longest, declined.retry_after);
     const bool declined_by_all =
         std::all_of(lenders_.begin(), lenders_.end(), [&](const lender& each) {
             return each.declined.count(request) != 0;
@@ -205,7 +205,8 @@
     return declined_by_all ? std::optional<duration>(longest) : std::nullopt;
 }
 
-std::optional<std::string> grant_borrower::silent(time_point now) const {
+std::optional<std::string>
+grant_borrower::unresponsive_lender(time_point now) const {
     for (const lender& target : lenders_) {
         if (target.asked && !target.answered &&
             now - target.unanswered_since >= policy_.silence_limit) {
@@ -215,7 +216,7 @@
     return std::nullopt;
 }
 
-void grant_borrower::forgive_silence(time_point now) {
+void grant_borrower::restart_silence_timers(time_point now) {
     for (lender& target : lenders_) {
         target.unanswered_since = now;
     }
--- a/src/decision/grant_borrower.hpp
+++ b/src/decision/grant_borrower.hpp
@@ -40,7 +40,7 @@
                 std::vector<scheduler_action>& actions);
 
     // Records a message from the peer, which shows that it responds.
-    void heard(const std::string& peer);
+    void message_received(const std::string& peer);
     void answered(const ask_answered& answer);
     // Records the grant. Returns false if it comes too late: it answers an ask
     // that is older than lenders keep asks, so the slot may be granted to
@@ -52,10 +52,10 @@
                                      const declined_request& declined);
 
     // Returns a lender that has not answered within the silence limit, if any.
-    // forgive_silence() restarts the limits of all lenders, because time during
-    // which this process itself was suspended does not count.
-    std::optional<std::string> silent(time_point now) const;
-    void forgive_silence(time_point now);
+    // restart_silence_timers() restarts the limits of all lenders, because time
+    // during which this process itself was suspended does not count.
+    std::optional<std::string> unresponsive_lender(time_point now) const;
+    void restart_silence_timers(time_point now);
 
     bool has_lenders() const { return !lenders_.empty(); }
     // When the next full ask is due or the next lender counts as unresponsive.
--- a/src/decision/grant_lender.cpp
+++ b/src/decision/grant_lender.cpp
@@ -29,7 +29,7 @@
     return grant;
 }
 
-bool grant_lender::holds(const request_origin& origin) const {
+bool grant_lender::has_grant_for(const request_origin& origin) const {
     return origins_.count(origin) != 0;
 }
 
@@ -42,8 +42,8 @@
     return ended;
 }
 
-std::optional<given_grant> grant_lender::take_back(const std::string& peer,
-                                                   grant_id grant) {
+std::optional<given_grant> grant_lender::end_returned(const std::string& peer,
+                                                      grant_id grant) {
     const auto found = given_.find(grant);
     if (found == given_.end() || found->second.origin.peer != peer) {
         return std::nullopt;
@@ -51,7 +51,7 @@
     return end(grant);
 }
 
-std::optional<given_grant> grant_lender::take_expired(time_point now) {
+std::optional<given_grant> grant_lender::end_expired(time_point now) {
     if (expiries_.empty() || expiries_.begin()->first > now) {
         return std::nullopt;
     }
--- a/src/decision/grant_lender.hpp
+++ b/src/decision/grant_lender.hpp
@@ -31,14 +31,14 @@
     grant_id give(given_grant given);
     // Whether the peer already has a grant for the request. It may ask for the
     // request again before the grant reaches it.
-    bool holds(const request_origin& origin) const;
+    bool has_grant_for(const request_origin& origin) const;
     // Ends a grant that the peer returns. Returns nothing if the grant is
     // unknown, belongs to another peer, or has ended before.
-    std::optional<given_grant> take_back(const std::string& peer,
-                                         grant_id grant);
+    std::optional<given_grant> end_returned(const std::string& peer,
+                                            grant_id grant);
     // Ends one grant whose lease has expired, if any. The peer may have died;
     // without a limit its slot would be lost for good.
-    std::optional<given_grant> take_expired(time_point now);
+    std::optional<given_grant> end_expired(time_point now);
     std::optional<time_point> next_expiry() const;
     std::size_t given() const { return given_.size(); }
 
--- a/src/decision/latency_estimator.cpp
+++ b/src/decision/latency_estimator.cpp
@@ -66,11 +66,11 @@
     return from_microseconds(std::exp(typical_log_));
 }
 
-duration latency_estimator::high() const {
+duration latency_estimator::high_quantile() const {
     return from_microseconds(std::exp(high_log_));
 }
 
-double latency_estimator::relative_log(duration sample) const {
+double latency_estimator::log_ratio_to_typical(duration sample) const {
     return std::log(microseconds(sample)) - typical_log_;
 }
 
--- a/src/decision/latency_estimator.hpp
+++ b/src/decision/latency_estimator.hpp
@@ -16,10 +16,10 @@
     void add(duration sample);
 
     duration mean() const;
-    duration typical() const; // geometric mean
-    duration high() const;    // the quantile given to the constructor
+    duration typical() const;       // geometric mean
+    duration high_quantile() const; // the quantile given to the constructor
     // log(sample / typical()): 0 is typical, log(8) is eight times slower.
-    double relative_log(duration sample) const;
+    double log_ratio_to_typical(duration sample) const;
     // Natural logarithm of the typical time in microseconds, and the standard
     // deviation of the logarithms of samples.
     double typical_log() const { return typical_log_; }
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -36,10 +36,10 @@
 retry_decision retry_policy::on_failed(const failed_attempt& failed,
                                        time_point now) {
     if (const auto reason = reason_against_retry(failed, now)) {
-        return give_up{*reason, limits_.come_back_in};
+        return give_up{*reason, limits_.retry_after};
     }
     if (!budget_.try_spend()) {
-        return give_up{give_up_reason::budget, limits_.come_back_in};
+        return give_up{give_up_reason::budget, limits_.retry_after};
     }
     return retry_elsewhere{failed.attempts + 1};
 }
--- a/src/decision/scheduler_actions.cpp
+++ b/src/decision/scheduler_actions.cpp
@@ -30,8 +30,8 @@
 }
 
 bool operator==(const refuse_request& a, const refuse_request& b) {
-    return std::tie(a.request, a.reason, a.come_back_in, a.declined_by) ==
-           std::tie(b.request, b.reason, b.come_back_in, b.declined_by);
+    return std::tie(a.request, a.reason, a.retry_after, a.declined_by) ==
+           std::tie(b.request, b.reason, b.retry_after, b.declined_by);
 }
 
 bool operator==(const expire_request& a, const expire_request& b) {
@@ -39,8 +39,8 @@
 }
 
 bool operator==(const ask_slots& a, const ask_slots& b) {
-    return std::tie(a.peer, a.waiting, a.withdrawn, a.whole) ==
-           std::tie(b.peer, b.waiting, b.withdrawn, b.whole);
+    return std::tie(a.peer, a.waiting, a.withdrawn, a.complete) ==
+           std::tie(b.peer, b.waiting, b.withdrawn, b.complete);
 }
 
 bool operator==(const answer_ask& a, const answer_ask& b) {
--- a/src/decision/scheduler_dispatch.cpp
+++ b/src/decision/scheduler_dispatch.cpp
@@ -93,7 +93,7 @@
 bool service_scheduler::impl::dispatch_one(
     request_queue& queue, const candidate_servers& slots,
     std::vector<queued_request>& skipped) {
-    if (!table_.any_room(slots, now_)) {
+    if (!table_.any_free(slots, now_)) {
         return false;
     }
     queued_request entry = queue.pop();
@@ -104,9 +104,9 @@
         refuse(entry.arrival.request, refusal_reason::stale_view);
         return true;
     }
-    const slot_wish wish = wish_of(entry);
-    const auto at =
-        slots ? table_.choose(wish, now_, *slots) : table_.choose(wish, now_);
+    const slot_requirements requirements = requirements_of(entry);
+    const auto at = slots ? table_.choose(requirements, now_, *slots)
+                          : table_.choose(requirements, now_);
     if (at) {
         assign_slot(entry, *at);
         return true;
--- a/src/decision/scheduler_events.cpp
+++ b/src/decision/scheduler_events.cpp
@@ -21,8 +21,8 @@
 }
 
 bool operator==(const declined_request& a, const declined_request& b) {
-    return std::tie(a.request, a.come_back_in) ==
-           std::tie(b.request, b.come_back_in);
+    return std::tie(a.request, a.retry_after) ==
+           std::tie(b.request, b.retry_after);
 }
 
 bool operator==(const grant_use& a, const grant_use& b) {
--- a/src/decision/scheduler_grants.cpp
+++ b/src/decision/scheduler_grants.cpp
@@ -28,10 +28,10 @@
     for (const request_id request : event.withdrawn) {
         remove_queued({event.peer, request});
     }
-    if (event.whole) {
+    if (event.complete) {
         retain_queued(event.peer, ids_of(event.waiting));
     }
-    if (event.waiting.empty() && !event.wants_word) {
+    if (event.waiting.empty() && !event.answer_required) {
         return;
     }
     replies_[event.peer].asked = true;
@@ -64,7 +64,7 @@
 void service_scheduler::impl::admit_from_peer(const std::string& peer,
                                               const waiting_request& waiting) {
     const request_origin origin{peer, waiting.request};
-    if (lender_.holds(origin)) {
+    if (lender_.has_grant_for(origin)) {
         return; // already granted; the grant had not arrived when it was sent
     }
     if (is_queued(origin)) {
@@ -160,7 +160,7 @@
 
 void service_scheduler::impl::on(const grant_returned& event) {
     note_message_from(event.peer);
-    const auto ended = lender_.take_back(event.peer, event.grant);
+    const auto ended = lender_.end_returned(event.peer, event.grant);
     if (!ended) {
         return; // its lease has expired
     }
@@ -173,7 +173,7 @@
 }
 
 void service_scheduler::impl::end_expired_leases() {
-    while (const auto ended = lender_.take_expired(now_)) {
+    while (const auto ended = lender_.end_expired(now_)) {
         if (const auto at = table_.find(ended->backend_server)) {
             table_.release(*at, ended->attempt, now_);
         }
@@ -252,7 +252,7 @@
     if (!event.is_owner) {
         // The peer is a standby that still reaches the actual owner, which this
         // instance does not; or it does not know yet that it is an owner.
-        if (unresponsive_owners_.add_denying(event.peer, now_)) {
+        if (unresponsive_owners_.add_non_owner(event.peer, now_)) {
             apply_reachability();
         }
         return;
@@ -260,15 +260,15 @@
     note_owner_message_from(event.peer);
     borrower_.answered(event);
     for (const declined_request& declined : event.declined) {
-        const auto come_back_in = borrower_.declined(event.peer, declined);
-        if (!come_back_in || has_usable_slots()) {
+        const auto retry_after = borrower_.declined(event.peer, declined);
+        if (!retry_after || has_usable_slots()) {
             continue; // another owner or this instance may have a slot
         }
         remove_queued({{}, declined.request});
         borrower_.remove(declined.request);
         actions_->emplace_back(refuse_request{declined.request,
                                               refusal_reason::too_late,
-                                              *come_back_in, event.peer});
+                                              *retry_after, event.peer});
     }
 }
 
@@ -323,8 +323,8 @@
 }
 
 void service_scheduler::impl::note_message_from(const std::string& peer) {
-    borrower_.heard(peer);
-    if (unresponsive_owners_.heard(peer)) {
+    borrower_.message_received(peer);
+    if (unresponsive_owners_.message_received(peer)) {
         apply_reachability();
     }
 }
@@ -357,17 +357,17 @@
 // that leaves a request for slots unanswered for silence_limit therefore counts
 // as unreachable: a standby is asked, or a share of its slots is used.
 void service_scheduler::impl::detect_unresponsive_owners() {
-    while (const auto peer = borrower_.silent(now_)) {
-        unresponsive_owners_.add_silent(*peer, now_);
+    while (const auto peer = borrower_.unresponsive_lender(now_)) {
+        unresponsive_owners_.add_unresponsive(*peer, now_);
         apply_reachability();
     }
 }
 
 void service_scheduler::impl::check_unresponsive_owners() {
-    for (const std::string& peer : unresponsive_owners_.take_due(now_)) {
+    for (const std::string& peer : unresponsive_owners_.take_due_checks(now_)) {
         ask_slots message;
         message.peer = peer;
-        message.wants_word = true;
+        message.answer_required = true;
         actions_->emplace_back(std::move(message));
     }
 }
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -48,7 +48,7 @@
         refuse(request.request, refusal_reason::stale_view);
         return true;
     }
-    if (service_removed_ || !table_.any_left(request)) {
+    if (service_removed_ || !table_.any_eligible(request)) {
         refuse(request.request, refusal_reason::no_backend_server);
         return true;
     }
@@ -98,7 +98,7 @@
     if (!queue_.empty()) {
         return false;
     }
-    const auto at = table_.choose(wish_of(entry), now_);
+    const auto at = table_.choose(requirements_of(entry), now_);
     if (at) {
         assign_slot(entry, *at);
     }
@@ -171,7 +171,7 @@
 }
 
 duration service_scheduler::impl::backlog() const {
-    const double slots = table_.counted_slots();
+    const double slots = table_.weighted_slots();
     if (slots <= 0 || queue_.empty()) {
         return duration::zero(); // without slots, other owners determine it
     }
@@ -180,7 +180,7 @@
 
 // Slots that the requests in time do not need.
 double service_scheduler::impl::spare_slots() const {
-    const double all = table_.paced_slots(now_);
+    const double all = table_.normalized_slots(now_);
     return std::max(all - offered_load_.slots_needed(now_),
                     policy_.min_spare_share * all);
 }
@@ -190,7 +190,7 @@
 double
 service_scheduler::impl::slots_for(const request_arrived& request) const {
     if (!request.target) {
-        return table_.counted_slots();
+        return table_.weighted_slots();
     }
     const double all = table_.prompt_slots(now_);
     const double left =
@@ -206,14 +206,15 @@
         return admission_.typical_time({});
     }
     const bool by_target = offered_load_.arrivals_per_second(now_) > 0;
-    const double slots = by_target ? spare_slots() : table_.counted_slots();
+    const double slots = by_target ? spare_slots() : table_.weighted_slots();
     return admission_.next_retry_delay(backlog(), slots, now_);
 }
 
 time_point service_scheduler::impl::latest_start_within_target(
     const request_arrived& request) const {
     return admission_.latest_start_within_target(
-        request.request_class, *request.target, table_.busy_log_factor());
+        request.request_class, *request.target,
+        table_.saturated_log_slowdown());
 }
 
 std::optional<work_forecast>
@@ -236,25 +237,29 @@
     return policy_.tolerated_loss + used * policy_.tolerated_loss_increase;
 }
 
-slot_wish service_scheduler::impl::wish_of(const queued_request& entry) const {
+slot_requirements
+service_scheduler::impl::requirements_of(const queued_request& entry) const {
     const request_arrived& request = entry.arrival;
     const bool arrived_here = entry.peer.empty();
-    slot_wish wish;
-    wish.request = &request;
-    wish.isolated = request.isolated;
-    wish.may_sample = request.nature == request_nature::retriable;
+    slot_requirements requirements;
+    requirements.request = &request;
+    requirements.isolated = request.isolated;
+    requirements.may_sample = request.nature == request_nature::retriable;
     const bool just_arrived =
         now_ - entry.arrived_at < policy_.failing_server_max_wait;
     const bool of_owner = !arrived_here && find_owner(view_.owners, entry.peer);
-    wish.patient = of_owner || (borrower_.has_lenders() && just_arrived);
-    wish.typical = admission_.typical_time(request.request_class);
-    wish.backlog = backlog();
-    wish.lent = !arrived_here;
-    wish.data_centre = data_centre_of(arrived_here ? self_.name : entry.peer);
-    wish.crossing_loss = admission_.crossing_loss(request.request_class);
-    wish.forecast = forecast_of(entry);
-    wish.tolerated_loss = tolerated_loss(entry);
-    return wish;
+    requirements.may_borrow =
+        of_owner || (borrower_.has_lenders() && just_arrived);
+    requirements.typical_time = admission_.typical_time(request.request_class);
+    requirements.backlog = backlog();
+    requirements.for_peer = !arrived_here;
+    requirements.data_centre =
+        data_centre_of(arrived_here ? self_.name : entry.peer);
+    requirements.crossing_loss =
+        admission_.crossing_loss(request.request_class);
+    requirements.forecast = forecast_of(entry);
+    requirements.tolerated_loss = tolerated_loss(entry);
+    return requirements;
 }
 
 void service_scheduler::impl::assign_slot(const queued_request& entry,
@@ -278,7 +283,7 @@
     }
     const double log_time = forecast->typical_log +
                             deviations * forecast->log_spread +
-                            table_.expected_log_factor(at);
+                            table_.expected_log_slowdown(at);
     return duration(static_cast<duration::rep>(std::exp(log_time)));
 }
 
@@ -376,26 +381,27 @@
     const grant_use& use = ended.use;
     ended_attempt expected =
         table_.finish(*at, ended.attempt, use.verdict, use.load, now_);
-    if (expected.of_former) {
+    if (expected.of_previous_incarnation) {
         return; // it ran on an earlier process of this backend server
     }
     const auto at_usual_pace = duration(static_cast<duration::rep>(
         static_cast<double>(use.service_time.count()) *
-        std::exp(-expected.log_factor)));
+        std::exp(-expected.log_slowdown)));
     const double relative =
-        admission_.relative_log(ended.request_class, at_usual_pace);
-    expected.comparable = admission_.baseline_known(ended.request_class);
+        admission_.log_ratio_to_typical(ended.request_class, at_usual_pace);
+    expected.baseline_known = admission_.baseline_known(ended.request_class);
     table_.learn(*at, expected, use.verdict, relative, now_);
     if (use.verdict != attempt_verdict::answered) {
         return;
     }
     admission_.add_answer_size(ended.request_class, use.answer_bytes);
     // Service times of stragglers must not become the usual time.
-    const bool roomy =
-        expected.roomy || (expected.fairly_roomy && !expected.comparable);
+    const bool lightly_loaded =
+        expected.lightly_loaded ||
+        (expected.moderately_loaded && !expected.baseline_known);
     if (!table_.at(*at).health().straggler()) {
         admission_.add_service_time(ended.request_class, at_usual_pace,
-                                    expected.certain && roomy);
+                                    expected.slowness_known && lightly_loaded);
     }
 }
 
--- a/src/decision/service_scheduler.cpp
+++ b/src/decision/service_scheduler.cpp
@@ -50,8 +50,9 @@
     return impl_->load(now);
 }
 
-std::vector<std::string> service_scheduler::unheard(time_point now) const {
-    return impl_->unheard(now);
+std::vector<std::string>
+service_scheduler::servers_to_probe(time_point now) const {
+    return impl_->servers_to_probe(now);
 }
 
 namespace {
@@ -82,7 +83,7 @@
     if (now - now_ >= policy_.silence_limit) {
         // No event was handled for that long, possibly because this process did
         // not run. Answers of peers may have arrived but not been read yet.
-        borrower_.forgive_silence(now);
+        borrower_.restart_silence_timers(now);
     }
     now_ = std::max(now_, now);
     actions_ = &actions;
@@ -118,7 +119,7 @@
             next = when;
         }
     };
-    consider(unresponsive_owners_.next_look());
+    consider(unresponsive_owners_.next_check());
     if (!queue_.empty()) {
         consider(queue_.earliest_latest_start());
     }
@@ -131,7 +132,7 @@
             std::min(next_full_scan_at_, change.value_or(next_full_scan_at_));
         consider(change);
         consider(borrower_.next_change());
-        if (table_.any_idle(now_)) {
+        if (table_.any_working_slot_free(now_)) {
             consider(next_full_scan_at_);
         }
     }
@@ -160,7 +161,7 @@
     if (view_.config) {
         queue_.set_tenants(view_.config->tenants);
     }
-    unresponsive_owners_.look_at_once(now_);
+    unresponsive_owners_.check_all_now(now_);
     apply_reachability();
 }
 
@@ -188,7 +189,7 @@
 
 void service_scheduler::impl::on(const probe_ended& event) {
     if (const auto at = table_.find(event.backend_server)) {
-        table_.probed(*at, event, now_);
+        table_.probe_finished(*at, event, now_);
     }
 }
 
@@ -198,7 +199,7 @@
 
 bool service_scheduler::impl::has_spare_slot() const {
     const bool may_borrow = !has_usable_slots() && borrower_.has_lenders();
-    return queue_.empty() && (may_borrow || table_.any_idle(now_));
+    return queue_.empty() && (may_borrow || table_.any_working_slot_free(now_));
 }
 
 scheduler_load service_scheduler::impl::load(time_point now) const {
@@ -218,9 +219,9 @@
 
 // Probes are worth their cost only while requests arrive.
 std::vector<std::string>
-service_scheduler::impl::unheard(time_point now) const {
+service_scheduler::impl::servers_to_probe(time_point now) const {
     const bool busy = offered_load_.arrivals_per_second(now) >= 1.0;
-    return busy ? table_.unheard(now) : std::vector<std::string>();
+    return busy ? table_.servers_to_probe(now) : std::vector<std::string>();
 }
 
 std::vector<slot_report> service_scheduler::impl::slots() const {
--- a/src/decision/service_scheduler_impl.hpp
+++ b/src/decision/service_scheduler_impl.hpp
@@ -13,8 +13,8 @@
 #include "decision/grant_lender.hpp"
 #include "decision/offered_load.hpp"
 #include "decision/request_queue.hpp"
-#include "decision/silent_owners.hpp"
 #include "decision/slot_table.hpp"
+#include "decision/unresponsive_owners.hpp"
 #include <waxwingvale/decision/repeat_budget.hpp>
 #include <waxwingvale/decision/service_scheduler.hpp>
 
@@ -33,7 +33,7 @@
     bool has_spare_slot() const;
     scheduler_load load(time_point now) const;
     std::vector<slot_report> slots() const;
-    std::vector<std::string> unheard(time_point now) const;
+    std::vector<std::string> servers_to_probe(time_point now) const;
 
 private:
     using action_list = std::vector<scheduler_action>;
@@ -94,7 +94,7 @@
     double slots_for(const request_arrived& request) const;
     duration next_retry_delay();
     double tolerated_loss(const queued_request& entry) const;
-    slot_wish wish_of(const queued_request& entry) const;
+    slot_requirements requirements_of(const queued_request& entry) const;
     time_point latest_start_within_target(const request_arrived& request) const;
     std::optional<work_forecast> forecast_of(const queued_request& entry) const;
     bool server_restarted(const running_request& ended) const;
@@ -156,7 +156,7 @@
     // Peers with a working link, and those of them that are owners but leave
     // requests for slots unanswered.
     std::unordered_set<std::string> linked_peers_;
-    silent_owners unresponsive_owners_;
+    unresponsive_owners unresponsive_owners_;
     slot_table table_;
     // Requests that can still meet their target or deadline, and requests that
     // can only be answered after their target. The latter get the slots that
--- a/src/decision/slot_choice.cpp
+++ b/src/decision/slot_choice.cpp
@@ -20,8 +20,9 @@
 // for each admitted request.
 constexpr duration estimate_lifetime{2000};
 
-bool suits(const slot_wish& wish, const backend_slots& server) {
-    return wish.request == nullptr || may_run_on(*wish.request, server);
+bool suits(const slot_requirements& requirements, const backend_slots& server) {
+    return requirements.request == nullptr ||
+           may_run_on(*requirements.request, server);
 }
 
 // Approximates the standard normal distribution function by a logistic
@@ -52,27 +53,30 @@
 }
 
 bool slot_table::sample_is_due(const backend_slots& server,
-                               const slot_wish& wish, time_point now) const {
+                               const slot_requirements& requirements,
+                               time_point now) const {
     return server.health().sample_due(
-        wish.may_sample ? now : now - write_sample_delay);
+        requirements.may_sample ? now : now - write_sample_delay);
 }
 
-bool slot_table::admits(const backend_slots& server, const slot_wish& wish,
+bool slot_table::admits(const backend_slots& server,
+                        const slot_requirements& requirements,
                         time_point now) const {
     if (server.unresponsive()) {
         return false; // probes continue and show when it is back
     }
     if (server.health().failing()) {
-        return sample_is_due(server, wish, now);
+        return sample_is_due(server, requirements, now);
     }
-    if (!server.health().straggler() || sample_is_due(server, wish, now)) {
+    if (!server.health().straggler() ||
+        sample_is_due(server, requirements, now)) {
         return true;
     }
     // A straggler is worth using if waiting for the other servers would take
     // longer than its additional service time.
     const double extra = (server.health().slowness() - 1.0) *
-                         static_cast<double>(wish.typical.count());
-    return static_cast<double>(wish.backlog.count()) > extra;
+                         static_cast<double>(requirements.typical_time.count());
+    return static_cast<double>(requirements.backlog.count()) > extra;
 }
 
 double slot_table::contention_log(const backend_slots& server) const {
@@ -80,7 +84,7 @@
                                     server.configured());
 }
 
-double slot_table::expected_log_factor(index place) const {
+double slot_table::expected_log_slowdown(index place) const {
     const backend_slots& server = servers_[place];
     const double reported =
         server.last_load() ? server.last_load()->load.slowness : 1.0;
@@ -151,7 +155,7 @@
 
     double in_time(double extra_log) const {
         return probability_below(
-            (forecast_.left_log - forecast_.typical_log - extra_log) /
+            (forecast_.time_left_log - forecast_.typical_log - extra_log) /
             forecast_.log_spread);
     }
 
@@ -196,16 +200,17 @@
     return probability;
 }
 
-double slot_table::time_cost(index place, const slot_wish& wish) const {
+double slot_table::time_cost(index place,
+                             const slot_requirements& requirements) const {
     const backend_slots& server = servers_[place];
     const double load = static_cast<double>(server.in_flight()) /
                         static_cast<double>(std::max(server.limit(), 1U));
     const double slowness =
         server.health().slow() ? server.health().slowness() : 1.0;
-    const auto typical = static_cast<double>(wish.typical.count());
+    const auto typical = static_cast<double>(requirements.typical_time.count());
     const auto crossing_time =
         static_cast<double>(policy_.other_data_centre_cost.count());
-    const bool is_local = server.data_centre() == wish.data_centre;
+    const bool is_local = server.data_centre() == requirements.data_centre;
     return typical * slowness *
                contention_.slowdown(server.in_flight() + 1,
                                     server.configured()) *
@@ -217,36 +222,39 @@
 // answer, by traffic between data centres, and by using more server time than
 // on an idle server of normal speed.
 double slot_table::expected_loss(const backend_slots& server,
-                                 const slot_wish& wish, double in_time,
-                                 double report_valid) const {
-    const bool is_local = server.data_centre() == wish.data_centre;
+                                 const slot_requirements& requirements,
+                                 double in_time, double report_valid) const {
+    const bool is_local = server.data_centre() == requirements.data_centre;
     const double load = static_cast<double>(server.in_flight()) /
                         static_cast<double>(std::max(server.limit(), 1U));
     const double extra_time =
         expected_slowness(server, report_valid) *
             contention_.slowdown(server.in_flight() + 1, server.configured()) -
         1.0;
-    return 1.0 - in_time + (is_local ? 0.0 : wish.crossing_loss) +
+    return 1.0 - in_time + (is_local ? 0.0 : requirements.crossing_loss) +
            policy_.longer_work_loss * (extra_time + policy_.load_cost * load);
 }
 
-double slot_table::cost(index place, const slot_wish& wish,
+double slot_table::cost(index place, const slot_requirements& requirements,
                         in_time_estimator* estimator, time_point now) const {
     const backend_slots& server = servers_[place];
-    if (server.health().needs_sampling() && sample_is_due(server, wish, now)) {
+    if (server.health().needs_sampling() &&
+        sample_is_due(server, requirements, now)) {
         return 0; // preferred; otherwise its recovery would not be noticed
     }
     if (estimator == nullptr) {
-        return time_cost(place, wish);
+        return time_cost(place, requirements);
     }
     const double report_valid = report_validity(server, now);
     const double in_time =
         in_time_probability(server, report_valid, *estimator);
-    const double lost = expected_loss(server, wish, in_time, report_valid);
+    const double lost =
+        expected_loss(server, requirements, in_time, report_valid);
     // If the loss is too high, the request waits for a better slot instead. The
     // tolerated loss increases with the time that it has waited.
-    return lost > wish.tolerated_loss ? std::numeric_limits<double>::infinity()
-                                      : lost;
+    return lost > requirements.tolerated_loss
+               ? std::numeric_limits<double>::infinity()
+               : lost;
 }
 
 bool slot_table::none_working() const {
@@ -272,29 +280,31 @@
 // Starts the search at a different server each time. If the first server were
 // always preferred among equal ones, nothing would be learned about the others
 // under low load.
-std::optional<slot_table::index> slot_table::choose(const slot_wish& wish,
-                                                    time_point now) const {
-    return choose_from(wish, now, usable_, next_start_);
+std::optional<slot_table::index>
+slot_table::choose(const slot_requirements& requirements,
+                   time_point now) const {
+    return choose_from(requirements, now, usable_, next_start_);
 }
 
 std::optional<slot_table::index>
-slot_table::choose(const slot_wish& wish, time_point now,
+slot_table::choose(const slot_requirements& requirements, time_point now,
                    const std::vector<index>& among) const {
-    return choose_from(wish, now, among, 0);
+    return choose_from(requirements, now, among, 0);
 }
 
 std::optional<slot_table::index>
-slot_table::choose_from(const slot_wish& wish, time_point now,
+slot_table::choose_from(const slot_requirements& requirements, time_point now,
                         const std::vector<index>& among,
                         std::size_t first) const {
-    if (wish.crossing_loss > 0 && !any_working_in(wish.data_centre)) {
-        slot_wish without_crossing_loss = wish;
+    if (requirements.crossing_loss > 0 &&
+        !any_working_in(requirements.data_centre)) {
+        slot_requirements without_crossing_loss = requirements;
         without_crossing_loss.crossing_loss = 0; // no near slot to wait for
         return choose_from(without_crossing_loss, now, among, first);
     }
     std::optional<in_time_estimator> estimator;
-    if (wish.forecast) {
-        estimator.emplace(*wish.forecast, slowness_model_);
+    if (requirements.forecast) {
+        estimator.emplace(*requirements.forecast, slowness_model_);
     }
     std::optional<index> best;
     std::optional<index> fallback;
@@ -305,15 +315,16 @@
         const index place =
             among[offset < among.size() ? offset : offset - among.size()];
         const backend_slots& server = servers_[place];
-        const bool fits_isolation = !wish.isolated || server.in_flight() == 0;
-        const bool fits_owner = !wish.lent || owned_[place];
+        const bool fits_isolation =
+            !requirements.isolated || server.in_flight() == 0;
+        const bool fits_owner = !requirements.for_peer || owned_[place];
         if (usable_slots(server, now) == 0 || !fits_isolation || !fits_owner ||
-            !suits(wish, server)) {
+            !suits(requirements, server)) {
             continue;
         }
         const double slot_cost =
-            cost(place, wish, estimator ? &*estimator : nullptr, now);
-        const bool admitted = admits(server, wish, now);
+            cost(place, requirements, estimator ? &*estimator : nullptr, now);
+        const bool admitted = admits(server, requirements, now);
         if (admitted && slot_cost < best_cost) {
             best = place;
             best_cost = slot_cost;
@@ -328,7 +339,7 @@
     // If all servers of this owner fail, the request waits for a slot of
     // another owner, whose servers may work, instead of ending in an error
     // here.
-    if (wish.patient && is_excluded(servers_[*fallback])) {
+    if (requirements.may_borrow && is_excluded(servers_[*fallback])) {
         return std::nullopt;
     }
     const bool nothing_better = !excludes_failing() || none_working();
@@ -341,7 +352,7 @@
     return works ? std::min(server.limit(), best) : 0;
 }
 
-bool slot_table::any_room(const std::optional<std::vector<index>>& among,
+bool slot_table::any_free(const std::optional<std::vector<index>>& among,
                           time_point now) const {
     const std::vector<index>& places = among ? *among : usable_;
     return std::any_of(places.begin(), places.end(), [&](index place) {
@@ -349,7 +360,7 @@
     });
 }
 
-bool slot_table::any_idle(time_point now) const {
+bool slot_table::any_working_slot_free(time_point now) const {
     return std::any_of(usable_.begin(), usable_.end(), [&](index place) {
         const backend_slots& server = servers_[place];
         return usable_slots(server, now) > 0 && working_slots_of(server) > 0;
@@ -367,8 +378,8 @@
         const backend_slots& server = servers_[place];
         sum.working += working_slots_of(server);
         sum.weighted += working_slots_of(server) * server.fair_share();
-        sum.busy_log_factor =
-            std::max(sum.busy_log_factor,
+        sum.saturated_log_slowdown =
+            std::max(sum.saturated_log_slowdown,
                      contention_.log_slowdown_at_best(server.configured()));
     }
     totals_ = sum;
@@ -387,7 +398,7 @@
     return sum;
 }
 
-double slot_table::counted_slots() const {
+double slot_table::weighted_slots() const {
     return current_totals().weighted;
 }
 
@@ -407,8 +418,8 @@
            std::exp(-contention_.log_slowdown_at_best(server.configured()));
 }
 
-double slot_table::busy_log_factor() const {
-    return current_totals().busy_log_factor;
+double slot_table::saturated_log_slowdown() const {
+    return current_totals().saturated_log_slowdown;
 }
 
 slot_table::estimates slot_table::estimate(time_point now) const {
@@ -447,7 +458,7 @@
     return estimates_at(now).normal_speed;
 }
 
-double slot_table::paced_slots(time_point now) const {
+double slot_table::normalized_slots(time_point now) const {
     return estimates_at(now).normalized;
 }
 
--- a/src/decision/slot_table.cpp
+++ b/src/decision/slot_table.cpp
@@ -35,7 +35,7 @@
 sharers_of_unreachable_owner(const view_changed& view,
                              const std::unordered_set<std::string>& reachable,
                              const member_id& self) {
-    if (!view.introduced) {
+    if (!view.members_known) {
         return assumed_sharers;
     }
     unsigned owners = 0;
@@ -240,7 +240,7 @@
     return found->second;
 }
 
-bool slot_table::any_left(const request_needs& request) const {
+bool slot_table::any_eligible(const request_needs& request) const {
     return std::any_of(
         servers_.begin(), servers_.end(), [&](const backend_slots& server) {
             return !server.unavailable() && may_run_on(request, server);
@@ -318,9 +318,9 @@
     const unsigned others = others_running(server, load);
     const auto started = server.finish(attempt, verdict, load, now, policy_);
     ended_attempt ended;
-    ended.certain = false;
+    ended.slowness_known = false;
     if (attempt != 0 && !started) {
-        ended.of_former = true;
+        ended.of_previous_incarnation = true;
         return ended;
     }
     if (verdict == attempt_verdict::answered ||
@@ -330,17 +330,17 @@
     if (started) {
         const unsigned slots = server.configured();
         ended.running = std::min(started->running + others, slots);
-        ended.roomy =
+        ended.lightly_loaded =
             contention_profile::is_lightly_loaded(ended.running, slots);
-        ended.fairly_roomy =
+        ended.moderately_loaded =
             contention_profile::is_moderately_loaded(ended.running, slots);
         ended.contention_log = contention_.log_slowdown(ended.running, slots);
         const double slowness =
             started->report_age || !load ? started->slowness : load->slowness;
-        ended.log_factor = ended.contention_log + std::log(slowness);
-        ended.certain = !started->report_age ||
-                        slowness_model_.probability_unchanged(
-                            *started->report_age) > min_report_validity;
+        ended.log_slowdown = ended.contention_log + std::log(slowness);
+        ended.slowness_known = !started->report_age ||
+                               slowness_model_.probability_unchanged(
+                                   *started->report_age) > min_report_validity;
     }
     if (load) {
         record_load(server, *load, now);
@@ -354,8 +354,8 @@
     mark_changed(place);
     backend_slots& server = servers_[place];
     const bool informative = verdict == attempt_verdict::answered &&
-                             ended.certain && !server.health().slow();
-    if (informative && ended.comparable) {
+                             ended.slowness_known && !server.health().slow();
+    if (informative && ended.baseline_known) {
         contention_.add(ended.running, server.configured(),
                         std::clamp(log_ratio + ended.contention_log,
                                    -max_log_deviation, max_log_deviation));
@@ -369,7 +369,8 @@
                            now, policy_);
 }
 
-void slot_table::probed(index place, const probe_ended& probe, time_point now) {
+void slot_table::probe_finished(index place, const probe_ended& probe,
+                                time_point now) {
     mark_changed(place);
     backend_slots& server = servers_[place];
     // Servers that report their load answer probes at once. Other servers may
@@ -416,7 +417,7 @@
     return known;
 }
 
-std::vector<std::string> slot_table::unheard(time_point now) const {
+std::vector<std::string> slot_table::servers_to_probe(time_point now) const {
     const auto known = counts_by_data_centre(now);
     std::vector<std::string> names;
     for (const index place : usable_) {
--- a/src/decision/slot_table.hpp
+++ b/src/decision/slot_table.hpp
@@ -16,13 +16,13 @@
 namespace waxwingvale::decision {
 
 // The requirements of a request on a slot.
-struct slot_wish {
+struct slot_requirements {
     const request_needs* request = nullptr; // null: any server
     bool isolated = false;
     bool may_sample = false; // may be a sample of a slow or failing server
-    bool patient = false;    // may still get a better slot from other owners
-    bool lent = false;       // for a peer: only slots that are owned here
-    duration typical{};      // typical service time of the request's class
+    bool may_borrow = false; // may still get a better slot from other owners
+    bool for_peer = false;   // for a peer: only slots that are owned here
+    duration typical_time{}; // typical service time of the request's class
     duration backlog{};      // time to serve the queue
     std::string data_centre; // of the instance that runs it
     // Loss by an answer from another data centre, as a fraction of its value.
@@ -39,20 +39,20 @@
 
 // What had been expected of an attempt that has ended.
 struct ended_attempt {
-    unsigned running = 1;      // requests on its server when it started
-    bool roomy = true;         // so few that they did not slow each other down
-    bool fairly_roomy = true;  // so few that they probably did not
-    double contention_log = 0; // part of log_factor caused by contention
+    unsigned running = 1;       // requests on its server when it started
+    bool lightly_loaded = true; // so few that they did not slow each other down
+    bool moderately_loaded = true; // so few that they probably did not
+    double contention_log = 0;     // part of log_slowdown caused by contention
     // Logarithm of the factor by which its work was expected to take longer
     // than typical, and whether that was known well enough to learn from its
     // time.
-    double log_factor = 0;
-    bool certain = true;
+    double log_slowdown = 0;
+    bool slowness_known = true;
     // Whether the typical time of its class on servers without contention is
     // known.
-    bool comparable = true;
+    bool baseline_known = true;
     // Whether it ran on a previous incarnation of its server.
-    bool of_former = false;
+    bool of_previous_incarnation = false;
 };
 
 // Slowness up to this counts as normal speed, which varies a little.
@@ -79,12 +79,14 @@
     bool owns_any() const { return owns_any_; }
     // Whether it may use any slots, of its own or as a share.
     bool has_slots() const { return !usable_.empty(); }
-    const slowness_model& pace() const { return slowness_model_; }
+    const slowness_model& slowness() const { return slowness_model_; }
 
     // Returns the server with the best free slot, if any, of all usable servers
     // or of those in `among`.
-    std::optional<index> choose(const slot_wish& wish, time_point now) const;
-    std::optional<index> choose(const slot_wish& wish, time_point now,
+    std::optional<index> choose(const slot_requirements& requirements,
+                                time_point now) const;
+    std::optional<index> choose(const slot_requirements& requirements,
+                                time_point now,
                                 const std::vector<index>& among) const;
     // Returns the servers that changed since the last call, because an attempt
     // ended there or a load report arrived: they may now suit requests that
@@ -92,13 +94,13 @@
     // because apply() was called.
     std::optional<std::vector<index>> take_changed();
     // Whether any available server is permitted for the request.
-    bool any_left(const request_needs& request) const;
+    bool any_eligible(const request_needs& request) const;
     // Whether a request with a grant may be started on the server.
     bool may_start(index place) const;
 
     // Logarithm of the factor by which work that starts there now is expected
     // to take longer than typical.
-    double expected_log_factor(index place) const;
+    double expected_log_slowdown(index place) const;
 
     // Occupies a slot until finish() or release() is called with the returned
     // attempt.
@@ -116,7 +118,7 @@
     // Frees a slot on which no request was started.
     void release(index place, attempt_ref attempt, time_point now);
     // Records the result of a probe of the server.
-    void probed(index place, const probe_ended& probe, time_point now);
+    void probe_finished(index place, const probe_ended& probe, time_point now);
 
     // Usable slots of servers that neither fail nor are stragglers, and usable
     // slots in use.
@@ -124,24 +126,25 @@
     unsigned busy_slots() const;
     // Like working_slots(), but slots that other instances use, too, are
     // counted by the fair share of this instance.
-    double counted_slots() const;
+    double weighted_slots() const;
     // Free slots among the working ones.
     unsigned idle_slots(time_point now) const;
-    bool any_idle(time_point now) const;
+    bool any_working_slot_free(time_point now) const;
     // Whether any server in `among`, or any usable server, has a free slot,
     // working or not.
-    bool any_room(const std::optional<std::vector<index>>& among,
+    bool any_free(const std::optional<std::vector<index>>& among,
                   time_point now) const;
     // Capacity of the working slots, in slots that work at normal speed:
     // prompt_slots() counts slots that are expected to work at normal speed
-    // now; paced_slots() counts all slots, divided by their expected slowness.
+    // now; normalized_slots() counts all slots, divided by their expected
+    // slowness.
     double prompt_slots(time_point now) const;
-    double paced_slots(time_point now) const;
+    double normalized_slots(time_point now) const;
     // Logarithm of the slowdown by contention when all servers run the number
     // of requests with the highest throughput; of the most affected server.
-    double busy_log_factor() const;
+    double saturated_log_slowdown() const;
     // Servers whose last load report is so old that a probe is worthwhile.
-    std::vector<std::string> unheard(time_point now) const;
+    std::vector<std::string> servers_to_probe(time_point now) const;
     // When the next slot becomes available because a pause or the limit of a
     // cold server ends or a sample is due.
     std::optional<time_point> next_change(time_point now) const;
@@ -155,16 +158,18 @@
     std::optional<unsigned> cold_request_limit(bool owned,
                                                unsigned sharers) const;
     void configure_servers(const service& of);
-    bool sample_is_due(const backend_slots& server, const slot_wish& wish,
+    bool sample_is_due(const backend_slots& server,
+                       const slot_requirements& requirements,
                        time_point now) const;
-    bool admits(const backend_slots& server, const slot_wish& wish,
-                time_point now) const;
+    bool admits(const backend_slots& server,
+                const slot_requirements& requirements, time_point now) const;
     class in_time_estimator;
-    double cost(index place, const slot_wish& wish,
+    double cost(index place, const slot_requirements& requirements,
                 in_time_estimator* estimator, time_point now) const;
-    double time_cost(index place, const slot_wish& wish) const;
-    double expected_loss(const backend_slots& server, const slot_wish& wish,
-                         double in_time, double report_valid) const;
+    double time_cost(index place, const slot_requirements& requirements) const;
+    double expected_loss(const backend_slots& server,
+                         const slot_requirements& requirements, double in_time,
+                         double report_valid) const;
     double in_time_probability(const backend_slots& server, double report_valid,
                                in_time_estimator& estimator) const;
     double report_validity(const backend_slots& server, time_point now) const;
@@ -177,7 +182,8 @@
     duration max_report_age(const backend_slots& server) const;
     void record_load(backend_slots& server, const backend_load& load,
                      time_point now);
-    std::optional<index> choose_from(const slot_wish& wish, time_point now,
+    std::optional<index> choose_from(const slot_requirements& requirements,
+                                     time_point now,
                                      const std::vector<index>& among,
                                      std::size_t first) const;
     bool any_working_in(const std::string& data_centre) const;
@@ -191,7 +197,7 @@
     struct totals {
         unsigned working = 0;
         double weighted = 0;
-        double busy_log_factor = 0;
+        double saturated_log_slowdown = 0;
     };
     struct estimates {
         time_point at{};
--- a/src/decision/silent_owners.cpp
+++ b/src/decision/unresponsive_owners.cpp
@@ -1,20 +1,22 @@
-#include "decision/silent_owners.hpp"
+#include "decision/unresponsive_owners.hpp"
 
 #include <algorithm>
 
 namespace waxwingvale::decision {
 
-bool silent_owners::add_silent(const std::string& peer, time_point now) {
+bool unresponsive_owners::add_unresponsive(const std::string& peer,
+                                           time_point now) {
     return peers_.emplace(peer, peer_state{false, now + period_}).second;
 }
 
-bool silent_owners::add_denying(const std::string& peer, time_point now) {
+bool unresponsive_owners::add_non_owner(const std::string& peer,
+                                        time_point now) {
     const auto added = peers_.emplace(peer, peer_state{true, now + period_});
     added.first->second.not_owner = true;
     return added.second;
 }
 
-bool silent_owners::heard(const std::string& peer) {
+bool unresponsive_owners::message_received(const std::string& peer) {
     const auto known = peers_.find(peer);
     if (known == peers_.end() || known->second.not_owner) {
         return false;
@@ -23,11 +25,11 @@
     return true;
 }
 
-bool silent_owners::remove(const std::string& peer) {
+bool unresponsive_owners::remove(const std::string& peer) {
     return peers_.erase(peer) != 0;
 }
 
-void silent_owners::look_at_once(time_point now) {
+void unresponsive_owners::check_all_now(time_point now) {
     if (now < next_forced_check_) {
         return;
     }
@@ -37,7 +39,7 @@
     }
 }
 
-std::vector<std::string> silent_owners::take_due(time_point now) {
+std::vector<std::string> unresponsive_owners::take_due_checks(time_point now) {
     std::vector<std::string> due;
     for (auto& each : peers_) {
         if (each.second.check_at <= now) {
@@ -48,7 +50,7 @@
     return due;
 }
 
-std::optional<time_point> silent_owners::next_look() const {
+std::optional<time_point> unresponsive_owners::next_check() const {
     std::optional<time_point> next;
     for (const auto& each : peers_) {
         const time_point check = each.second.check_at;
@@ -57,7 +59,7 @@
     return next;
 }
 
-std::vector<std::string> silent_owners::names() const {
+std::vector<std::string> unresponsive_owners::names() const {
     std::vector<std::string> all;
     for (const auto& each : peers_) {
         all.push_back(each.first);
--- a/src/decision/silent_owners.hpp
+++ b/src/decision/unresponsive_owners.hpp
@@ -17,30 +17,31 @@
 // know which instances it has told that it was none. Without these checks this
 // instance would keep using a share of slots that the owner also grants to
 // others.
-class silent_owners {
+class unresponsive_owners {
 public:
     // check_period: how often each peer is asked for a status answer.
-    explicit silent_owners(duration check_period) : period_(check_period) {}
+    explicit unresponsive_owners(duration check_period)
+        : period_(check_period) {}
 
-    // Adds a peer that left an ask unanswered. This and add_denying() return
+    // Adds a peer that left an ask unanswered. This and add_non_owner() return
     // true if the peer is new in the set.
-    bool add_silent(const std::string& peer, time_point now);
+    bool add_unresponsive(const std::string& peer, time_point now);
     // Adds a peer that answered that it is no owner.
-    bool add_denying(const std::string& peer, time_point now);
+    bool add_non_owner(const std::string& peer, time_point now);
     // Records a message of any kind from the peer. Removes the peer if it was
     // only unresponsive; a message does not make it an owner. This and remove()
     // return true if the peer was removed.
-    bool heard(const std::string& peer);
+    bool message_received(const std::string& peer);
     // Removes a peer that has acted as an owner or whose connection has closed.
     bool remove(const std::string& peer);
 
     // Makes the checks of all peers due now, since their state may have
     // changed. Calls within one check period of the last effective one are
     // ignored; the next regular check covers them.
-    void look_at_once(time_point now);
+    void check_all_now(time_point now);
     // Returns the peers whose check is due and schedules their next check.
-    std::vector<std::string> take_due(time_point now);
-    std::optional<time_point> next_look() const;
+    std::vector<std::string> take_due_checks(time_point now);
+    std::optional<time_point> next_check() const;
     std::vector<std::string> names() const;
 
 private:
--- a/src/decision/work_forecast.hpp
+++ b/src/decision/work_forecast.hpp
@@ -7,7 +7,7 @@
 struct work_forecast {
     double typical_log = 0;
     double log_spread = 0; // standard deviation of the logarithm
-    double left_log = 0;
+    double time_left_log = 0;
 };
 
 } // namespace waxwingvale::decision
--- a/src/entry/call_attempts.cpp
+++ b/src/entry/call_attempts.cpp
@@ -116,7 +116,7 @@
     bool operator()(const decision::refuse_suspect& refusal) const {
         own_answer answer;
         answer.reason = "suspected-of-crashing";
-        answer.come_back_in = refusal.retry_after;
+        answer.retry_after = refusal.retry_after;
         desk.finish(call.id, answer);
         return false;
     }
@@ -153,7 +153,7 @@
     if (call != nullptr && id == action.request) {
         own_answer dropped;
         dropped.reason = "backend-server-dropped";
-        dropped.come_back_in = come_back_default;
+        dropped.retry_after = retry_after_default;
         finish(id, dropped);
     }
 }
--- a/src/entry/call_desk.cpp
+++ b/src/entry/call_desk.cpp
@@ -116,7 +116,7 @@
                     "");
         own_answer answer;
         answer.reason = "no-configuration";
-        answer.come_back_in = come_back_to_started;
+        answer.retry_after = retry_after_start;
         leave_open_if_resent(answer, caller->request());
         caller->answer(protocol_.render(answer));
         return;
@@ -217,7 +217,7 @@
     cancel_attempts(*call);
     own_answer late;
     late.reason = "deadline-passed";
-    late.come_back_in = come_back_default;
+    late.retry_after = retry_after_default;
     if (sent) {
         late.status = status::gateway_timeout;
         late.outcome = run_outcome::unknown;
@@ -259,14 +259,14 @@
     }
     own_answer refusal;
     refusal.reason = to_string(action.reason);
-    refusal.come_back_in = action.come_back_in;
+    refusal.retry_after = action.retry_after;
     finish(action.request, refusal);
 }
 
 void call_desk::expire(const decision::expire_request& action) {
     own_answer expired;
     expired.reason = "deadline-passed";
-    expired.come_back_in = come_back_default;
+    expired.retry_after = retry_after_default;
     finish(action.request, expired);
 }
 
@@ -339,10 +339,10 @@
     call_record& call;
 
     void own(unsigned status, run_outcome outcome, const char* reason,
-             std::optional<duration> come_back_in = std::nullopt,
+             std::optional<duration> retry_after = std::nullopt,
              std::string detail = {}) const {
         desk.finish(call.id,
-                    {status, outcome, reason, std::move(detail), come_back_in});
+                    {status, outcome, reason, std::move(detail), retry_after});
     }
 
     void operator()(const decision::run_here& run) const {
--- a/src/entry/call_desk.hpp
+++ b/src/entry/call_desk.hpp
@@ -55,8 +55,8 @@
     // A probe of one of the service's backend servers ended.
     void take(const std::string& service, const decision::probe_ended& probe);
 
-    // What to probe, see service_scheduler::unheard().
-    std::vector<std::string> unheard(const std::string& service) const;
+    // What to probe, see service_scheduler::servers_to_probe().
+    std::vector<std::string> servers_to_probe(const std::string& service) const;
 
     // Calls that have no answer yet.
     std::size_t open_calls() const { return calls_.size(); }
--- a/src/entry/call_facts.cpp
+++ b/src/entry/call_facts.cpp
@@ -32,7 +32,7 @@
            fact("queued", queued) + " " +
            fact("declined_by",
                 refusal.declined_by.empty() ? "self" : refusal.declined_by) +
-           " " + fact("come_back_ms", refusal.come_back_in);
+           " " + fact("come_back_ms", refusal.retry_after);
 }
 
 std::string answered_facts(const call_record& call, run_outcome outcome,
--- a/src/entry/call_services.cpp
+++ b/src/entry/call_services.cpp
@@ -69,7 +69,7 @@
         changed.owners = owners.at(of.name);
         changed.beliefs = beliefs_of(of, beliefs);
         changed.fresh = now.fresh;
-        changed.introduced = now.introduced;
+        changed.members_known = now.members_known;
         part_of(of.name).policies.follow(of, now.config->routes.get());
         desk_of(of.name).handle(changed);
     }
@@ -107,11 +107,13 @@
     }
 }
 
-std::vector<std::string> call_desk::unheard(const std::string& service) const {
+std::vector<std::string>
+call_desk::servers_to_probe(const std::string& service) const {
     const auto found = services_.find(service);
     return found == services_.end()
                ? std::vector<std::string>()
-               : found->second.desk->scheduler().unheard(timers_.now());
+               : found->second.desk->scheduler().servers_to_probe(
+                     timers_.now());
 }
 
 call_desk::service_part& call_desk::part_of(const std::string& service) {
--- a/src/entry/entry_service.cpp
+++ b/src/entry/entry_service.cpp
@@ -113,8 +113,9 @@
     report(backend_server, answer, belief_source::traffic);
 }
 
-std::vector<std::string> entry_service::unheard(const std::string& service) {
-    return calls_.unheard(service);
+std::vector<std::string>
+entry_service::servers_to_probe(const std::string& service) {
+    return calls_.servers_to_probe(service);
 }
 
 void entry_service::on_probe(const std::string& service,
--- a/src/entry/entry_service.hpp
+++ b/src/entry/entry_service.hpp
@@ -39,7 +39,8 @@
 private:
     void observe(const std::string& backend_server,
                  const backend_answer& answer) override;
-    std::vector<std::string> unheard(const std::string& service) override;
+    std::vector<std::string>
+    servers_to_probe(const std::string& service) override;
     void on_probe(const std::string& service, const std::string& backend_server,
                   const backend_answer& answer) override;
     void report(const std::string& backend_server, const backend_answer& answer,
--- a/src/entry/grant_message.cpp
+++ b/src/entry/grant_message.cpp
@@ -23,8 +23,8 @@
 namespace field {
 constexpr const char* service = "s";
 constexpr const char* type = "t";
-constexpr const char* whole = "w";
-constexpr const char* wants_word = "W";
+constexpr const char* complete = "w";
+constexpr const char* answer_required = "W";
 constexpr const char* waiting = "q";
 constexpr const char* withdrawn = "x";
 constexpr const char* request = "r";
@@ -42,7 +42,7 @@
 constexpr const char* idle = "f";
 constexpr const char* is_owner = "y";
 constexpr const char* declined = "d";
-constexpr const char* come_back_in = "b";
+constexpr const char* retry_after = "b";
 constexpr const char* grant = "g";
 constexpr const char* backend_server = "h";
 constexpr const char* lease = "z";
@@ -144,11 +144,11 @@
 
     void operator()(const decision::ask_slots& a) const {
         into[field::type] = "a";
-        if (a.whole) {
-            into[field::whole] = true;
+        if (a.complete) {
+            into[field::complete] = true;
         }
-        if (a.wants_word) {
-            into[field::wants_word] = true;
+        if (a.answer_required) {
+            into[field::answer_required] = true;
         }
         into[field::waiting] = json::array();
         for (const auto& request : a.waiting) {
@@ -166,7 +166,7 @@
         for (const auto& declined : a.declined) {
             into[field::declined].push_back(
                 {{field::request, declined.request},
-                 {field::come_back_in, declined.come_back_in.count()}});
+                 {field::retry_after, declined.retry_after.count()}});
         }
     }
     void operator()(const decision::give_grant& a) const {
@@ -195,8 +195,8 @@
 decision::scheduler_event read_ask(const std::string& peer, const json& from) {
     decision::slots_asked asked;
     asked.peer = peer;
-    asked.whole = from.value(field::whole, false);
-    asked.wants_word = from.value(field::wants_word, false);
+    asked.complete = from.value(field::complete, false);
+    asked.answer_required = from.value(field::answer_required, false);
     for (const auto& request :
          io::read_list(from.at(field::waiting), requests_limit)) {
         asked.waiting.push_back(read_request(request));
@@ -221,7 +221,7 @@
          io::read_list(from.at(field::declined), requests_limit)) {
         answer.declined.push_back(
             {io::read_number<decision::request_id>(declined.at(field::request)),
-             io::read_wait(declined.at(field::come_back_in))});
+             io::read_wait(declined.at(field::retry_after))});
     }
     return answer;
 }
--- a/src/entry/lost_attempt.cpp
+++ b/src/entry/lost_attempt.cpp
@@ -28,7 +28,7 @@
     lost.outcome = answer.outcome;
     lost.reason = "backend-server-refused";
     const bool had_room = answer.load && !answer.load->full();
-    lost.come_back_in = had_room ? come_back_to_room : come_back_default;
+    lost.retry_after = had_room ? retry_after_refusal : retry_after_default;
     if (answer.outcome != run_outcome::unknown) {
         return lost;
     }
--- a/src/entry/own_answers.cpp
+++ b/src/entry/own_answers.cpp
@@ -52,12 +52,12 @@
     return read;
 }
 
-void add_retry_after(io::http_response& into, duration come_back_in) {
+void add_retry_after(io::http_response& into, duration retry_after) {
     // Retry-After knows whole seconds only; a caller that comes back early
     // would be refused again, so it is rounded up.
     const auto whole =
-        std::max<seconds>(ceil<seconds>(come_back_in), seconds(1));
-    const auto exact = ceil<milliseconds>(come_back_in);
+        std::max<seconds>(ceil<seconds>(retry_after), seconds(1));
+    const auto exact = ceil<milliseconds>(retry_after);
     into.headers.push_back(
         {header::retry_after, std::to_string(whole.count())});
     into.headers.push_back(
@@ -80,8 +80,8 @@
     rendered.headers = {{"Content-Type", "text/plain"},
                         {header::outcome, to_string(answer.outcome)},
                         {header::reason, answer.reason}};
-    if (answer.come_back_in) {
-        add_retry_after(rendered, *answer.come_back_in);
+    if (answer.retry_after) {
+        add_retry_after(rendered, *answer.retry_after);
     }
     rendered.body = answer.reason;
     if (!answer.detail.empty()) {
--- a/src/entry/prober.cpp
+++ b/src/entry/prober.cpp
@@ -130,7 +130,7 @@
     if (owned.empty()) {
         return;
     }
-    for (const auto& name : outlet_.unheard(of.name)) {
+    for (const auto& name : outlet_.servers_to_probe(of.name)) {
         const auto found = owned.find(name);
         if (found != owned.end()) {
             probe(of, found->second, now);
--- a/src/entry/prober.hpp
+++ b/src/entry/prober.hpp
@@ -22,7 +22,8 @@
     virtual ~probe_outlet() = default;
     // Backend servers of which too little was heard lately to place requests
     // well.
-    virtual std::vector<std::string> unheard(const std::string& service) = 0;
+    virtual std::vector<std::string>
+    servers_to_probe(const std::string& service) = 0;
     virtual void on_probe(const std::string& service,
                           const std::string& backend_server,
                           const backend_answer& answer) = 0;
--- a/src/program/view_published.cpp
+++ b/src/program/view_published.cpp
@@ -10,7 +10,7 @@
         // Held for the only member, this instance would take all slots.
         static const std::vector<member> nobody;
         owners = decision::compute_ownerships(
-            *now->config, now->introduced ? now->members : nobody);
+            *now->config, now->members_known ? now->members : nobody);
     }
     return {std::move(now),
             std::make_shared<const decision::service_ownerships>(
--- a/src/steer/address_desk.cpp
+++ b/src/steer/address_desk.cpp
@@ -64,7 +64,7 @@
     if (!view || !view->config) {
         return problem(status_unavailable, "no configuration yet");
     }
-    if (!view->introduced) {
+    if (!view->members_known) {
         return problem(status_unavailable, "no other instance heard of yet");
     }
     const auto owners = known_.owners->find(name);
--- a/src/waxwing_replay/knob_table.cpp
+++ b/src/waxwing_replay/knob_table.cpp
@@ -30,7 +30,7 @@
     {"failing_pause_max", &scheduling_policy::failing_pause_max},
     {"failing_patience", &scheduling_policy::failing_server_max_wait},
     {"shed_decrease", &scheduling_policy::shed_decrease},
-    {"caution_max", &scheduling_policy::caution_max},
+    {"caution_max", &scheduling_policy::slot_growth_rounds_max},
     {"shed_pause_min", &scheduling_policy::shed_pause_min},
     {"shed_pause_max", &scheduling_policy::shed_pause_max},
     {"other_data_centre_cost", &scheduling_policy::other_data_centre_cost},
--- a/src/waxwing_replay/replay_world.cpp
+++ b/src/waxwing_replay/replay_world.cpp
@@ -144,14 +144,14 @@
 }
 
 // Callers with one deadline for all wait at most for a third of what is left.
-duration replay_world::patience(const call& of, duration come_back_in) const {
+duration replay_world::patience(const call& of, duration retry_after) const {
     const duration most = (deadline_of(of) - times_.now()) / 3;
-    return has_target(of) ? std::min(come_back_in, most) : come_back_in;
+    return has_target(of) ? std::min(retry_after, most) : retry_after;
 }
 
-void replay_world::refuse(const call& of, duration come_back_in) {
+void replay_world::refuse(const call& of, duration retry_after) {
     const bool comes_back =
-        of.returns < work_of(of).returns && come_back_in > duration::zero();
+        of.returns < work_of(of).returns && retry_after > duration::zero();
     if (!comes_back) {
         if (measuring()) {
             statistics_.ended(call_end::refused);
@@ -160,7 +160,7 @@
     }
     call again = of;
     again.returns += 1;
-    again.arrives_at = times_.now() + patience(of, come_back_in);
+    again.arrives_at = times_.now() + patience(of, retry_after);
     if (measuring()) {
         statistics_.came_back_at(again.arrives_at);
     }
--- a/src/waxwing_replay/replay_world.hpp
+++ b/src/waxwing_replay/replay_world.hpp
@@ -72,7 +72,7 @@
     // Ends of a call, as its caller sees them.
     void answer(const call& of);
     void fail(const call& of);
-    void refuse(const call& of, duration come_back_in);
+    void refuse(const call& of, duration retry_after);
 
 private:
     struct attempt_in_flight {
@@ -83,7 +83,7 @@
 
     void arrive_next();
     void earn(const call& of, double worth);
-    duration patience(const call& of, duration come_back_in) const;
+    duration patience(const call& of, duration retry_after) const;
     void conclude(std::uint64_t attempt_id, const attempt_result& result);
 
     const workload& load_;
--- a/src/waxwing_replay/trace_codec.cpp
+++ b/src/waxwing_replay/trace_codec.cpp
@@ -123,7 +123,7 @@
             {"members", members},
             {"beliefs", beliefs},
             {"fresh", event.fresh},
-            {"introduced", event.introduced}};
+            {"introduced", event.members_known}};
 }
 
 scheduler_event decode_view(const json& from) {
@@ -141,7 +141,7 @@
         made.beliefs.push_back(decode_belief(known));
     }
     from.at("fresh").get_to(made.fresh);
-    made.introduced = from.value("introduced", true);
+    made.members_known = from.value("introduced", true);
     made.owners = compute_ownership(config.services[0], made.members);
     made.config = std::make_shared<const configuration>(std::move(config));
     return made;
@@ -282,9 +282,9 @@
     for (const waiting_request& each : event.waiting) {
         waiting.push_back(encode_waiting(each));
     }
-    return {{"event", "slots_asked"}, {"peer", event.peer},
-            {"waiting", waiting},     {"withdrawn", event.withdrawn},
-            {"whole", event.whole},   {"wants_word", event.wants_word}};
+    return {{"event", "slots_asked"},  {"peer", event.peer},
+            {"waiting", waiting},      {"withdrawn", event.withdrawn},
+            {"whole", event.complete}, {"wants_word", event.answer_required}};
 }
 
 scheduler_event decode_ask(const json& from) {
@@ -294,8 +294,8 @@
         made.waiting.push_back(decode_waiting(each));
     }
     from.at("withdrawn").get_to(made.withdrawn);
-    from.at("whole").get_to(made.whole);
-    made.wants_word = from.value("wants_word", false);
+    from.at("whole").get_to(made.complete);
+    made.answer_required = from.value("wants_word", false);
     return made;
 }
 
@@ -303,7 +303,7 @@
     json declined = json::array();
     for (const declined_request& each : event.declined) {
         declined.push_back({{"request", each.request},
-                            {"come_back_in", count(each.come_back_in)}});
+                            {"come_back_in", count(each.retry_after)}});
     }
     return {{"event", "ask_answered"},
             {"peer", event.peer},
@@ -407,7 +407,7 @@
 
 std::string text(const refuse_request& a) {
     return "refuse " + std::to_string(a.request) + ' ' + to_string(a.reason) +
-           ' ' + std::to_string(count(a.come_back_in));
+           ' ' + std::to_string(count(a.retry_after));
 }
 
 std::string text(const expire_request& a) {
@@ -415,7 +415,7 @@
 }
 
 std::string text(const ask_slots& a) {
-    std::string line = "ask " + a.peer + (a.whole ? " whole" : " more");
+    std::string line = "ask " + a.peer + (a.complete ? " whole" : " more");
     for (const waiting_request& each : a.waiting) {
         line += ' ' + std::to_string(each.request) + '/' +
                 std::to_string(count(each.time_left));
@@ -431,7 +431,7 @@
                        (a.is_owner ? " owner" : " other");
     for (const declined_request& each : a.declined) {
         line += ' ' + std::to_string(each.request) + '/' +
-                std::to_string(count(each.come_back_in));
+                std::to_string(count(each.retry_after));
     }
     return line;
 }
--- a/src/waxwing_replay/waxwing_policy.cpp
+++ b/src/waxwing_replay/waxwing_policy.cpp
@@ -74,7 +74,8 @@
 void waxwing_policy::probe_unheard() {
     const time_point now = world_->times().now();
     for (std::size_t i = 0; i < instances_.size(); ++i) {
-        for (const auto& server : instances_[i].scheduler->unheard(now)) {
+        for (const auto& server :
+             instances_[i].scheduler->servers_to_probe(now)) {
             send_probe(i, server);
         }
     }
@@ -395,7 +396,7 @@
     }
     const call refused = pending_.at(action.request).of;
     pending_.erase(action.request);
-    world_->refuse(refused, action.come_back_in);
+    world_->refuse(refused, action.retry_after);
 }
 
 void waxwing_policy::act(std::size_t /*instance*/,
@@ -408,8 +409,8 @@
 void waxwing_policy::act(std::size_t instance, const ask_slots& action) {
     send_to_peer(instance, action.peer,
                  slots_asked{member_id_of(instance).name, action.waiting,
-                             action.withdrawn, action.whole,
-                             action.wants_word});
+                             action.withdrawn, action.complete,
+                             action.answer_required});
 }
 
 void waxwing_policy::act(std::size_t instance, const answer_ask& action) {
--- a/test/control/view_publisher_test.cpp
+++ b/test/control/view_publisher_test.cpp
@@ -59,12 +59,12 @@
     CHECK_FALSE(one.views.publish(false));
     one.clock.advance(100ms);
     REQUIRE(one.views.publish(false));
-    CHECK_FALSE(one.views.last_view()->introduced);
+    CHECK_FALSE(one.views.last_view()->members_known);
     CHECK(one.views.last_owners().at("slate-view").owners.empty());
     // A peer has told which others there are.
     one.clock.advance(50ms);
     REQUIRE(one.views.publish(true));
-    CHECK(one.views.last_view()->introduced);
+    CHECK(one.views.last_view()->members_known);
     CHECK(one.views.last_owners().at("slate-view").owners.size() == 1);
 }
 
@@ -75,7 +75,7 @@
     CHECK(one.views.publish(false));
     one.clock.advance(800ms);
     REQUIRE(one.views.publish(false));
-    CHECK(one.views.last_view()->introduced);
+    CHECK(one.views.last_view()->members_known);
 }
 
 TEST_CASE("without the platform's word an instance waits for a peer's") {
--- a/test/entry/backend_answer_test.cpp
+++ b/test/entry/backend_answer_test.cpp
@@ -85,9 +85,12 @@
     refused.end = attempt_end::not_started;
     refused.outcome = run_outcome::not_run;
     refused.load = backend_load{2, 0, 6, 1.0};
-    CHECK(entry::lost_answer(refused).come_back_in == entry::come_back_to_room);
+    CHECK(entry::lost_answer(refused).retry_after ==
+          entry::retry_after_refusal);
     refused.load = backend_load{6, 3, 6, 1.0};
-    CHECK(entry::lost_answer(refused).come_back_in == entry::come_back_default);
+    CHECK(entry::lost_answer(refused).retry_after ==
+          entry::retry_after_default);
     refused.load.reset();
-    CHECK(entry::lost_answer(refused).come_back_in == entry::come_back_default);
+    CHECK(entry::lost_answer(refused).retry_after ==
+          entry::retry_after_default);
 }
--- a/test/entry/codec_test.cpp
+++ b/test/entry/codec_test.cpp
@@ -28,8 +28,8 @@
     decision::ask_slots ask;
     ask.peer = "pdx-1";
     ask.withdrawn = {4, 5};
-    ask.whole = true;
-    ask.wants_word = true;
+    ask.complete = true;
+    ask.answer_required = true;
     ask.waiting.resize(2);
     ask.waiting[0].request = 8;
     ask.waiting[0].tenant = "league";
@@ -49,8 +49,8 @@
     CHECK(event.peer == "sea-1");
     CHECK(event.waiting == ask.waiting);
     CHECK(event.withdrawn == ask.withdrawn);
-    CHECK(event.whole);
-    CHECK(event.wants_word);
+    CHECK(event.complete);
+    CHECK(event.answer_required);
 }
 
 TEST_CASE("an owner's answer keeps the moment of each declined request") {
--- a/test/entry/prober_test.cpp
+++ b/test/entry/prober_test.cpp
@@ -61,7 +61,8 @@
         prober_.take(program::with_owners(now));
     }
 
-    std::vector<std::string> unheard(const std::string& /*service*/) override {
+    std::vector<std::string>
+    servers_to_probe(const std::string& /*service*/) override {
         return {"a"};
     }
     void on_probe(const std::string& /*service*/, const std::string& server,
--- a/test/fuzz/message_targets.cpp
+++ b/test/fuzz/message_targets.cpp
@@ -51,7 +51,7 @@
     }
     void operator()(const decision::ask_answered& e) const {
         for (const auto& each : e.declined) {
-            must_be_a_wait(each.come_back_in, "an appointment is a wait");
+            must_be_a_wait(each.retry_after, "an appointment is a wait");
         }
     }
     void operator()(const decision::grant_received& e) const {
--- a/test/platform/directory_test.cpp
+++ b/test/platform/directory_test.cpp
@@ -81,7 +81,7 @@
     auto now = std::make_shared<view>();
     now->config = std::make_shared<const configuration>(read_sample());
     now->members = {instance("n1", "north", 81)};
-    now->introduced = false;
+    now->members_known = false;
     directory.take(program::with_owners(now));
     CHECK(directory.answer(asking(resolve), {}).status == 503);
 }
--- a/test/platform/request_headers_test.cpp
+++ b/test/platform/request_headers_test.cpp
@@ -112,7 +112,7 @@
 TEST_CASE("when to come back is told in seconds, and only what has not run") {
     entry::own_answer refusal;
     refusal.reason = "queue-full";
-    refusal.come_back_in = 250200us;
+    refusal.retry_after = 250200us;
     CHECK(value_of(protocol.render(refusal).headers, "Retry-After") == "0.251");
     refusal.outcome = run_outcome::unknown;
     CHECK(value_of(protocol.render(refusal).headers, "Retry-After").empty());
--- a/test/scheduling/admission_test.cpp
+++ b/test/scheduling/admission_test.cpp
@@ -32,7 +32,7 @@
     for (request_id id = 1; id <= 130; ++id) {
         f.arrive(id, 200ms);
         for (const refuse_request& refused : f.all<refuse_request>()) {
-            retry_times.insert(refused.come_back_in);
+            retry_times.insert(refused.retry_after);
         }
     }
     CHECK(retry_times.size() >= 120);
@@ -46,8 +46,8 @@
     for (request_id id = 1; id <= 5000; ++id) {
         f.arrive(id, 200ms);
         for (const refuse_request& refused : f.all<refuse_request>()) {
-            retry_times.insert(refused.come_back_in);
-            CHECK(refused.come_back_in < 31s);
+            retry_times.insert(refused.retry_after);
+            CHECK(refused.retry_after < 31s);
         }
     }
     CHECK(retry_times.size() > 4900);
--- a/test/scheduling/cold_test.cpp
+++ b/test/scheduling/cold_test.cpp
@@ -153,7 +153,7 @@
     set_cold_limit(f, 14, start + 1h);
     CHECK(started_in_a_second(f, 1) ==
           3); // half of the limit, divided by two instances
-    f.view.introduced = false;
+    f.view.members_known = false;
     set_cold_limit(f, 14, start + 1h);
     f.pass(2s);
     CHECK(started_in_a_second(f, 1001) == 0);
--- a/test/scheduling/grants_test.cpp
+++ b/test/scheduling/grants_test.cpp
@@ -165,7 +165,7 @@
     f.send(ask_of({21}));
     REQUIRE(f.all<give_grant>().size() == 1);
     slots_asked again = ask_of({21});
-    again.whole = true;
+    again.complete = true;
     f.send(again);
     CHECK(f.all<give_grant>().empty());
 }
@@ -178,7 +178,7 @@
     f.arrive(1);
     f.send(ask_of({21, 22}, 10s));
     slots_asked whole = ask_of({22}, 10s);
-    whole.whole = true;
+    whole.complete = true;
     f.send(whole);
     f.finish(1);
     REQUIRE(f.all<give_grant>().size() == 1);
@@ -269,7 +269,7 @@
         f.pass(50ms);
         REQUIRE(f.all<ask_slots>().size() == 1);
         CHECK(f.all<ask_slots>()[0].peer == "entry-1");
-        CHECK(f.all<ask_slots>()[0].wants_word);
+        CHECK(f.all<ask_slots>()[0].answer_required);
         f.send(ask_answered{"entry-1", 0, false, {}});
         CHECK(f.scheduler().slots()[0].usable == 2);
     }
@@ -299,7 +299,7 @@
         f.now += 15ms;
         f.send(time_passed{});
         for (const ask_slots& ask : f.all<ask_slots>()) {
-            asked += ask.wants_word ? 1 : 0;
+            asked += ask.answer_required ? 1 : 0;
         }
     }
     CHECK(asked >= 3);
@@ -336,7 +336,7 @@
     f.link_peer();
     slots_asked ask;
     ask.peer = "entry-1";
-    ask.wants_word = true;
+    ask.answer_required = true;
     f.send(ask);
     REQUIRE(f.all<answer_ask>().size() == 1);
     CHECK(f.all<answer_ask>()[0].is_owner);
@@ -403,8 +403,8 @@
     f.send(ask_answered{"entry-1", 0, true, {{1, 700ms}, {2, 720ms}}});
     const auto refused = f.all<refuse_request>();
     REQUIRE(refused.size() == 2);
-    CHECK(refused[0].come_back_in == 700ms);
-    CHECK(refused[1].come_back_in == 720ms);
+    CHECK(refused[0].retry_after == 700ms);
+    CHECK(refused[1].retry_after == 720ms);
 }
 
 TEST_CASE("a grant outside of a request's data centres is returned") {
--- a/test/scheduling/late_burst_test.cpp
+++ b/test/scheduling/late_burst_test.cpp
@@ -147,7 +147,7 @@
             return;
         }
         last_probes_ = now_;
-        for (const auto& server : scheduler_.unheard(now_)) {
+        for (const auto& server : scheduler_.servers_to_probe(now_)) {
             probe_ended event;
             event.backend_server = server;
             event.answered = true;
--- a/test/scheduling/random_events_test.cpp
+++ b/test/scheduling/random_events_test.cpp
@@ -150,8 +150,8 @@
     void peer_asks() {
         slots_asked event;
         event.peer = "entry-1";
-        event.whole = *rc::gen::arbitrary<bool>();
-        event.wants_word = *rc::gen::arbitrary<bool>();
+        event.complete = *rc::gen::arbitrary<bool>();
+        event.answer_required = *rc::gen::arbitrary<bool>();
         const auto count = *rc::gen::inRange(0, 4);
         for (int i = 0; i < count; ++i) {
             waiting_request waiting;
@@ -305,7 +305,7 @@
 
     void check(const refuse_request& action) {
         RC_ASSERT(waiting_.erase(action.request) == 1U);
-        RC_ASSERT(action.come_back_in > duration::zero());
+        RC_ASSERT(action.retry_after > duration::zero());
     }
 
     void check(const expire_request& action) {
--- a/test/scheduling/slots_test.cpp
+++ b/test/scheduling/slots_test.cpp
@@ -91,7 +91,7 @@
     REQUIRE(f.all<refuse_request>().size() == 1);
     CHECK(f.all<refuse_request>()[0].reason ==
           refusal_reason::no_backend_server);
-    CHECK(f.all<refuse_request>()[0].come_back_in > 0us);
+    CHECK(f.all<refuse_request>()[0].retry_after > 0us);
 }
 
 TEST_CASE(
@@ -99,7 +99,7 @@
     // All instances start at the same time and do not know each other yet. If
     // each assumed to be the only one, each would fill all backend servers.
     scheduler_fixture f(3, 4, 3);
-    f.view.introduced = false;
+    f.view.members_known = false;
     f.view.owners.owners.clear();
     f.apply_view();
     for (request_id id = 1; id <= 6; ++id) {
--- a/test/scheduling/start_test.cpp
+++ b/test/scheduling/start_test.cpp
@@ -67,7 +67,7 @@
     // requests as well, and the servers would get several times more requests
     // than they have slots.
     scheduler_fixture f = service_with_route(12, 1);
-    f.view.introduced = false;
+    f.view.members_known = false;
     f.view.owners.owners.clear();
     f.apply_view();
     CHECK(f.scheduler().load(f.now).working_slots == 12);
@@ -97,7 +97,7 @@
     for (request_id id = 1; id <= 40; ++id) {
         f.send(f.request(id, 1ms));
         for (const refuse_request& refused : f.all<refuse_request>()) {
-            CHECK(refused.come_back_in < 1s);
+            CHECK(refused.retry_after < 1s);
         }
     }
 }
--- a/test/scheduling/targets_test.cpp
+++ b/test/scheduling/targets_test.cpp
@@ -108,7 +108,7 @@
         f.send(with_target(f, id));
         for (const refuse_request& refusal : f.all<refuse_request>()) {
             CHECK(refusal.reason == refusal_reason::too_late);
-            CHECK(refusal.come_back_in > 0us);
+            CHECK(refusal.retry_after > 0us);
             ++refused;
         }
         f.now += 5ms;
@@ -290,8 +290,8 @@
     f.finish(1);
     f.send(load_report_of("a", 1.0));
     f.send(load_report_of("b", 4.0));
-    CHECK(f.scheduler().unheard(f.now + 20ms).empty());
-    CHECK(f.scheduler().unheard(f.now + 40ms).size() == 2);
+    CHECK(f.scheduler().servers_to_probe(f.now + 20ms).empty());
+    CHECK(f.scheduler().servers_to_probe(f.now + 40ms).size() == 2);
 }
 
 TEST_CASE("servers without a recent load report are probed") {
@@ -304,16 +304,16 @@
     f.now += 1s;
     f.send(with_target(f, 1));
     f.finish(1);
-    CHECK(f.scheduler().unheard(f.now).size() == 2);
+    CHECK(f.scheduler().servers_to_probe(f.now).size() == 2);
     f.send(load_report_of("a", 1.0));
     f.send(load_report_of("b", 4.0));
-    CHECK(f.scheduler().unheard(f.now).empty());
-    const auto soon = f.scheduler().unheard(f.now + 60ms);
+    CHECK(f.scheduler().servers_to_probe(f.now).empty());
+    const auto soon = f.scheduler().servers_to_probe(f.now + 60ms);
     REQUIRE(soon.size() == 1);
     CHECK(soon[0] == "b");
-    CHECK(f.scheduler().unheard(f.now + 200ms).size() == 2);
+    CHECK(f.scheduler().servers_to_probe(f.now + 200ms).size() == 2);
     // Without requests no probes are needed.
-    CHECK(f.scheduler().unheard(f.now + 30s).empty());
+    CHECK(f.scheduler().servers_to_probe(f.now + 30s).empty());
 }
 
 TEST_CASE("a server that does not answer probes is excluded until it does") {
