--- a/include/waxwingvale/membership/configuration_exchange.hpp
+++ b/include/waxwingvale/membership/configuration_exchange.hpp
@@ -14,11 +14,12 @@
 namespace waxwingvale::membership {
 
 // A configuration that peers have in force and this instance does not have yet.
-struct awaited_configuration {
+struct pending_configuration {
     std::uint64_t revision = 0; // the newest revision that a peer announced
-    std::string named_by;       // the peer that announced it first
-    duration waited{};  // time since a peer first announced a newer revision
-    unsigned asked = 0; // requests sent to peers in that time
+    std::string announced_by;   // the peer that announced it first
+    duration
+        waiting_time{};    // time since a peer first announced a newer revision
+    unsigned requests = 0; // requests sent to peers in that time
 };
 
 // Decides which peer is asked for a newer configuration file, and when. Every
@@ -36,16 +37,17 @@
     // Records the revisions that a peer announced. A file that is missing here
     // is requested after `wait`, within which it often arrives from the
     // discovery platform.
-    void hear(const std::string& peer, const revision_message& theirs,
-              duration wait, time_point now);
-    void lost(const std::string& peer);
+    void handle_announcement(const std::string& peer,
+                             const revision_message& theirs, duration wait,
+                             time_point now);
+    void handle_link_down(const std::string& peer);
     // Whether the newest file that a peer announced has been accepted or
     // refused here.
-    bool has_named() const;
+    bool has_newest_announced() const;
     // The newest revision that any peer has announced as in force, or 0.
-    std::uint64_t named() const { return named_; }
+    std::uint64_t named() const { return newest_announced_; }
     // Empty while no peer is known to have a newer file in force.
-    std::optional<awaited_configuration> awaited(time_point now) const;
+    std::optional<pending_configuration> pending(time_point now) const;
     // The peer that sent the file accepted last, if it has this revision;
     // otherwise an empty name.
     std::string sender_of(std::uint64_t revision) const;
@@ -57,67 +59,68 @@
     answer(const configuration_request& request);
     // Offers a received file to the register. Error: the bytes cannot be
     // unpacked; the file is then requested again.
-    result<offer_outcome> take(const std::string& peer,
-                               const configuration_message& message);
+    result<offer_outcome> receive(const std::string& peer,
+                                  const configuration_message& message);
 
     revision_message own_revision() const;
 
 private:
     // The newest revisions that a linked peer has announced.
-    struct peer_word {
-        revision_message theirs;
-        time_point ask_again_at{}; // no further request before this
+    struct peer_announcement {
+        revision_message announced;
+        time_point next_request_at{}; // no further request before this
         // Unanswered requests, with an upper limit; a file that arrives
         // reduces them by one.
-        unsigned unanswered = 0;
+        unsigned unanswered_requests = 0;
     };
-    using words = std::map<std::string, peer_word>;
+    using announcements = std::map<std::string, peer_announcement>;
 
-    struct asked_file {
-        std::string from;
-        time_point until{};
+    struct open_request {
+        std::string peer;
+        time_point deadline{};
     };
 
     // The time since which peers are known to have a newer file in force.
-    struct time_behind {
+    struct outdated_period {
         std::uint64_t in_force = 0;
         time_point since{};
-        unsigned asked = 0;
+        unsigned requests = 0;
     };
     struct received_file {
         std::uint64_t revision = 0;
-        std::string from;
+        std::string peer;
     };
 
-    void note_named(const std::string& peer, std::uint64_t revision,
-                    time_point now);
+    void record_announced(const std::string& peer, std::uint64_t revision,
+                          time_point now);
     bool lacks(const revision_message& theirs) const;
-    bool is_awaited(time_point now) const;
+    bool has_open_request(time_point now) const;
     bool lacks_any() const;
-    words::iterator best_to_ask(time_point now);
-    void forget_asked(const std::string& peer);
-    void note_sent(const std::string& peer, std::uint64_t revision);
-    void turn_down(std::uint64_t revision);
-    configuration_message message_of(const configuration_text& file);
+    announcements::iterator best_request_target(time_point now);
+    void clear_open_request(const std::string& peer);
+    void record_received(const std::string& peer, std::uint64_t revision);
+    void mark_rejected(std::uint64_t revision);
+    configuration_message packed_message(const configuration_text& file);
 
     configuration_register& configurations_;
-    duration answer_within_;
-    words words_; // by the names of linked peers
+    duration answer_timeout_;
+    announcements announcements_; // by the names of linked peers
     // The newest announcement of any peer, also of peers whose link is down.
-    revision_message newest_word_;
+    revision_message newest_announcement_;
     // No request is sent before this time; set by the first announcement of a
     // missing file.
-    time_point ask_at_{};
-    std::optional<asked_file> asked_;
+    time_point request_at_{};
+    std::optional<open_request> open_request_;
     // Revisions that arrived and were not accepted; not requested again.
-    std::set<std::uint64_t> turned_down_;
-    std::uint64_t named_ = 0; // the newest revision announced as in force
-    std::string named_by_;
-    std::optional<time_behind> behind_;
+    std::set<std::uint64_t> rejected_revisions_;
+    std::uint64_t newest_announced_ =
+        0; // the newest revision announced as in force
+    std::string newest_announced_by_;
+    std::optional<outdated_period> outdated_;
     received_file received_; // the file from a peer that was accepted last
     // Cache of the last file sent: the next peer probably requests the same
     // file, and packing 294 kB takes 3.7 ms of a core.
-    configuration_message packed_;
+    configuration_message last_packed_;
 };
 
 } // namespace waxwingvale::membership
--- a/include/waxwingvale/membership/configuration_register.hpp
+++ b/include/waxwingvale/membership/configuration_register.hpp
@@ -14,7 +14,7 @@
 enum class offer_outcome {
     accepted,   // valid and newer: in force from now on
     refused,    // newer but invalid: the previous file stays in force
-    known,      // the same file as the one in force or the one refused
+    duplicate,  // the same file as the one in force or the one refused
     older,      // does not replace the file in force, as it is older
     conflicting // differs from a known file with the same revision
 };
@@ -72,8 +72,8 @@
 
     // Null, with revision 0, until a first file has been accepted.
     configuration_ptr in_force() const { return in_force_; }
-    const configuration_text& published() const { return published_; }
-    std::uint64_t revision() const { return published_.revision; }
+    const configuration_text& file_in_force() const { return file_in_force_; }
+    std::uint64_t revision() const { return file_in_force_.revision; }
     // The newest refused file; empty when none is newer than the file in force.
     const std::optional<refused_configuration>& refused() const {
         return refused_;
@@ -84,13 +84,13 @@
     const configuration_counters& counters() const { return counters_; }
 
 private:
-    offer_outcome compare_known(const configuration_text& known,
-                                const configuration_text& file);
+    offer_outcome compare_same_revision(const configuration_text& known,
+                                        const configuration_text& file);
 
     validator validate_;
     std::shared_ptr<const configuration_precedence> precedence_;
     configuration_ptr in_force_;
-    configuration_text published_;
+    configuration_text file_in_force_;
     configuration_text refused_file_;
     std::optional<refused_configuration> refused_;
     configuration_counters counters_;
--- a/include/waxwingvale/membership/exchange_message.hpp
+++ b/include/waxwingvale/membership/exchange_message.hpp
@@ -36,20 +36,20 @@
 // A change of a subscription: the sender subscribes to the receiver's updates,
 // or unsubscribes, or declines the receiver as a subscriber because it serves
 // as many as it can.
-enum class listening { as_before, starts, ends, declined };
+enum class subscription_change { none, subscribe, unsubscribe, declined };
 
 // Hashes of all that the sender knows. Sent periodically, when a subscription
 // changes, and after a late wake-up to query whether peers answer.
 struct digest_message {
     // The sender's epoch, which the receiver returns in its answer; 0 requests
     // no answer.
-    std::uint64_t asks = 0;
+    std::uint64_t query_epoch = 0;
     // The epoch of the receiver's query that this message answers, or 0.
-    std::uint64_t answers = 0;
+    std::uint64_t answered_epoch = 0;
     std::uint64_t revision = 0; // configuration in force
     std::uint64_t refused = 0;  // revision of a newer file refused there, or 0
     table_fingerprints tables;
-    listening listens = listening::as_before;
+    listening subscription = listening::none;
 };
 
 // Requests the records of the buckets whose hashes differ, for each table that
@@ -73,7 +73,7 @@
     std::vector<unsigned> member_buckets;
     std::vector<unsigned> belief_buckets;
     std::vector<unsigned> registry_buckets;
-    bool whole_quarantine = false;
+    bool complete_quarantine = false;
     bool answers_request = false;
 };
 
@@ -100,7 +100,7 @@
 // The age of the newest answer of the discovery platform that the sender knows,
 // the instance that read it, and the state that the sender has from it. A
 // receiver with a different state has missed a message.
-struct platform_word {
+struct platform_status {
     std::string reader;
     duration age{};
     std::uint64_t registry = 0; // fingerprint of the sender's table
@@ -109,7 +109,7 @@
 
 using exchange_message =
     std::variant<digest_message, records_message, revision_message,
-                 configuration_request, configuration_message, platform_word,
+                 configuration_request, configuration_message, platform_status,
                  records_request>;
 
 // A message and the entry instance it is sent to. Messages with the same
--- a/include/waxwingvale/membership/freshness.hpp
+++ b/include/waxwingvale/membership/freshness.hpp
@@ -16,7 +16,7 @@
     // A gap between two calls of beat() longer than `gap_limit` means that the
     // process was stopped.
     freshness(duration gap_limit, time_point now)
-        : gap_limit_(gap_limit), last_beat_(now), woke_at_(now) {}
+        : gap_limit_(gap_limit), last_beat_(now), last_wakeup_(now) {}
 
     // Must be called frequently, and after every wait before anything else is
     // done. Returns whether the process was stopped since the last call.
@@ -26,9 +26,9 @@
         if (late) {
             ++epoch_;
             fresh_ = false;
-            platform_heard_ = false;
-            woke_at_ = now;
-            ++late_wakes_;
+            platform_answered_ = false;
+            last_wakeup_ = now;
+            ++late_wakeups_;
         }
         return late;
     }
@@ -38,19 +38,19 @@
     // while peers know it. If there are peers, the view therefore becomes fresh
     // only by a peer's answer or after a bounded wait.
     void hear_platform(std::uint64_t epoch) {
-        platform_heard_ = platform_heard_ || epoch == epoch_;
+        platform_answered_ = platform_answered_ || epoch == epoch_;
     }
 
     // Makes the view fresh by the platform's answer alone if there are no peers
     // or no peer has answered in time.
     void settle(bool has_peers, time_point now) {
-        const bool waited = now - woke_at_ >= peer_wait;
-        fresh_ = fresh_ || (platform_heard_ && (waited || !has_peers));
+        const bool waited = now - last_wakeup_ >= max_peer_wait;
+        fresh_ = fresh_ || (platform_answered_ && (waited || !has_peers));
     }
 
     // Records that a peer answered a query of `epoch`. Returns whether this
     // made the view fresh.
-    bool hear(std::uint64_t epoch) {
+    bool record_peer_answer(std::uint64_t epoch) {
         if (epoch != epoch_ || fresh_) {
             return false;
         }
@@ -60,18 +60,18 @@
 
     std::uint64_t epoch() const { return epoch_; }
     bool fresh() const { return fresh_; }
-    std::uint64_t late_wakes() const { return late_wakes_; }
+    std::uint64_t late_wakeups() const { return late_wakeups_; }
 
 private:
-    static constexpr duration peer_wait = std::chrono::seconds(1);
+    static constexpr duration max_peer_wait = std::chrono::seconds(1);
 
     duration gap_limit_;
     time_point last_beat_;
     std::uint64_t epoch_ = 1;
     bool fresh_ = false;
-    bool platform_heard_ = false;
-    time_point woke_at_;
-    std::uint64_t late_wakes_ = 0;
+    bool platform_answered_ = false;
+    time_point last_wakeup_;
+    std::uint64_t late_wakeups_ = 0;
 };
 
 } // namespace waxwingvale::membership
--- a/include/waxwingvale/membership/news_routes.hpp
+++ b/include/waxwingvale/membership/update_tree.hpp
@@ -13,36 +13,36 @@
 namespace waxwingvale::membership {
 
 // The timeouts and delays of update_tree.
-struct news_timing {
+struct update_tree_timing {
     // After this long without a newer answer of the discovery platform, another
     // upstream peer is tried. Longer than a reader's watch takes to return when
     // nothing changes, and shorter than the silence after which an instance
     // reads the platform itself.
-    duration patience = std::chrono::milliseconds(750);
+    duration staleness_timeout = std::chrono::milliseconds(750);
     // The platform may be unavailable: each further upstream peer that has no
     // newer answer either doubles the timeout, up to this limit.
-    duration patience_limit = std::chrono::seconds(6);
+    duration max_staleness_timeout = std::chrono::seconds(6);
     // The minimum time before an upstream peer is replaced by a better one.
-    duration shortest_stay = std::chrono::milliseconds(500);
+    duration min_subscription_time = std::chrono::milliseconds(500);
     // The minimum time before a peer that declined a subscription is asked
     // again.
-    duration declined_wait = std::chrono::milliseconds(500);
+    duration declined_retry_delay = std::chrono::milliseconds(500);
     // After a peer declined a subscription, the next search for a better
     // upstream peer waits this long, and twice as long after each further
     // refusal, up to the limit: all better peers may be full permanently, and
     // each attempt gives up the upstream peer that works.
-    duration better_feed_wait = std::chrono::milliseconds(500);
-    duration better_feed_wait_limit = std::chrono::seconds(30);
+    duration better_upstream_delay = std::chrono::milliseconds(500);
+    duration max_better_upstream_delay = std::chrono::seconds(30);
 };
 
 // A peer to whose updates this instance subscribes, or from which it
 // unsubscribes.
-struct feed_change {
+struct upstream_change {
     std::string peer;
-    bool start = false;
+    bool subscribe = false;
 
-    friend bool operator==(const feed_change& a, const feed_change& b) {
-        return std::tie(a.peer, a.start) == std::tie(b.peer, b.start);
+    friend bool operator==(const upstream_change& a, const upstream_change& b) {
+        return std::tie(a.peer, a.subscribe) == std::tie(b.peer, b.subscribe);
     }
 };
 
@@ -61,10 +61,10 @@
 // hundreds of instances would subscribe to the few that they find first.
 // Updates that are lost when the tree breaks are recovered by comparing tables.
 // Does no I/O: the caller passes in events and the current time.
-class news_routes {
+class update_tree {
 public:
-    news_routes(std::string self, std::size_t max_subscribers,
-                news_timing timing, time_point now);
+    update_tree(std::string self, std::size_t max_subscribers,
+                update_tree_timing timing, time_point now);
 
     // Sets the central instances, as far as this instance knows them.
     void set_central(std::set<std::string> central);
@@ -72,30 +72,32 @@
     void link_down(const std::string& peer);
     // Adds a peer that subscribes to our updates. Returns false if the limit of
     // subscribers is reached.
-    bool add_listener(const std::string& peer);
-    void remove_listener(const std::string& peer) { listeners_.erase(peer); }
+    bool add_subscriber(const std::string& peer);
+    void remove_subscriber(const std::string& peer) {
+        subscribers_.erase(peer);
+    }
     // Records that a peer declined our subscription.
-    void declined(const std::string& peer, time_point now);
+    void handle_declined(const std::string& peer, time_point now);
     // Records that a newer answer of the discovery platform came from a peer,
     // or, if the name is empty, was read by this instance.
-    void hear_newer(const std::string& from, time_point now);
+    void record_newer_platform_answer(const std::string& from, time_point now);
 
     // Chooses the upstream peer again. The caller sends the returned changes to
     // the peers named in them.
-    std::vector<feed_change> choose_feed(const member_table& members,
-                                         time_point now);
+    std::vector<upstream_change> choose_upstream(const member_table& members,
+                                                 time_point now);
 
     // The peers to which an update that came from `origin` is relayed. An empty
     // `origin` means that this instance learned it itself.
-    std::set<std::string> audience(const std::string& origin) const;
+    std::set<std::string> recipients(const std::string& origin) const;
     bool is_central(const std::string& name) const {
         return central_.count(name) > 0;
     }
     const std::set<std::string>& central() const { return central_; }
     const std::set<std::string>& linked() const { return linked_; }
-    const std::set<std::string>& listeners() const { return listeners_; }
+    const std::set<std::string>& subscribers() const { return subscribers_; }
     // The upstream peer, or an empty name.
-    const std::string& feed() const { return feed_; }
+    const std::string& upstream() const { return upstream_; }
 
 private:
     // The rank of a candidate for upstream peer; smaller is better. In order:
@@ -106,33 +108,33 @@
     rank rank_of(const std::string& peer, const member_table& members) const;
     std::string best_candidate(const member_table& members,
                                time_point now) const;
-    bool is_passed_over(const std::string& peer, time_point now) const;
-    bool needs_feed(bool stale, time_point now) const;
+    bool is_avoided(const std::string& peer, time_point now) const;
+    bool needs_upstream(bool stale, time_point now) const;
     bool is_better(const std::string& candidate,
                    const member_table& members) const;
-    void change_feed(const std::string& peer, time_point now,
-                     std::vector<feed_change>& changes);
+    void change_upstream(const std::string& peer, time_point now,
+                         std::vector<upstream_change>& changes);
 
     std::string self_;
-    std::size_t most_listeners_;
-    news_timing timing_;
+    std::size_t max_subscribers_;
+    update_tree_timing timing_;
     std::set<std::string> central_;
     std::set<std::string> linked_;
-    std::set<std::string> listeners_;
-    std::string feed_;
-    time_point feed_since_{};
+    std::set<std::string> subscribers_;
+    std::string upstream_;
+    time_point upstream_since_{};
     // Peers that had no newer answer of the platform or declined, and the time
     // until which they are not chosen.
-    std::map<std::string, time_point> passed_over_;
+    std::map<std::string, time_point> avoided_until_;
     // When a better upstream peer is searched for next, and how long the last
     // delay was.
-    time_point look_for_better_at_{};
-    duration better_feed_wait_{};
-    duration patience_;
+    time_point next_better_search_at_{};
+    duration better_upstream_delay_{};
+    duration staleness_timeout_;
     // When a newer answer of the platform last arrived, and when one last
     // arrived from another source than the upstream peer.
-    time_point newer_at_;
-    time_point newer_elsewhere_at_;
+    time_point newer_answer_at_;
+    time_point newer_answer_elsewhere_at_;
 };
 
 } // namespace waxwingvale::membership
--- a/src/control/control_metrics.cpp
+++ b/src/control/control_metrics.cpp
@@ -82,10 +82,10 @@
      &membership::exchange_counters::digests_differed},
     {"waxwing_exchange_records_requested_total",
      "Times that a peer was asked for its records.",
-     &membership::exchange_counters::records_requested},
+     &membership::exchange_counters::record_requests},
     {"waxwing_exchange_feeds_changed_total",
      "Peers whose news was asked for, or no longer.",
-     &membership::exchange_counters::feeds_changed},
+     &membership::exchange_counters::upstream_changes},
     {"waxwing_exchange_records_sent_total", "Records sent to peers.",
      &membership::exchange_counters::records_sent},
     {"waxwing_exchange_records_received_total", "Records from peers.",
@@ -189,7 +189,7 @@
     show("waxwing_view_fresh", "1: heard of since the last wake-up.",
          [&known] { return known.fresh.fresh() ? 1U : 0U; });
     count("waxwing_late_wakeups_total", "Times the process had been stopped.",
-          [&known] { return known.fresh.late_wakes(); });
+          [&known] { return known.fresh.late_wakeups(); });
     count("waxwing_belief_changes_total", "Changes of backend beliefs.",
           [&known] { return known.beliefs.counters().changes; });
     count("waxwing_beliefs_over_limit_total", "Beliefs not taken: too many.",
@@ -207,7 +207,7 @@
          "Newest revision that a peer had in force.",
          [&peers] { return peers.exchange().files().named(); });
     show("waxwing_news_listeners", "Instances that listen to this one.",
-         [&peers] { return peers.exchange().routes().listeners().size(); });
+         [&peers] { return peers.exchange().tree().subscribers().size(); });
     count("waxwing_messages_malformed_total",
           "Messages of authenticated peers not understood.",
           [&peers] { return peers.malformed(); });
--- a/src/control/control_service.cpp
+++ b/src/control/control_service.cpp
@@ -339,18 +339,18 @@
 
 // As long as it lasts, so that its beginning and its end can be seen.
 void control_service::log_awaited(time_point now) {
-    const auto awaited = peers_.exchange().files().awaited(now);
-    if (!awaited || awaited->waited < longest_ordinary_wait) {
+    const auto awaited = peers_.exchange().files().pending(now);
+    if (!awaited || awaited->waiting_time < longest_ordinary_wait) {
         return;
     }
     program::log_warning(
         "configuration_awaited",
         {{"revision", std::to_string(awaited->revision)},
          {"in_force", std::to_string(known_.configurations.revision())},
-         {"named_by", awaited->named_by},
+         {"named_by", awaited->announced_by},
          {"waited_ms",
-          std::to_string(awaited->waited / std::chrono::milliseconds(1))},
-         {"asked", std::to_string(awaited->asked)}});
+          std::to_string(awaited->waiting_time / std::chrono::milliseconds(1))},
+         {"asked", std::to_string(awaited->requests)}});
 }
 
 void control_service::log_turns() {
--- a/src/control/peer_links.cpp
+++ b/src/control/peer_links.cpp
@@ -80,7 +80,7 @@
         return;
     }
     exchange_.receive(peer, message.value(), now);
-    if (const auto problem = exchange_.take_problem()) {
+    if (const auto problem = exchange_.take_error()) {
         log_problem(*problem, peer);
     }
     on_heard_();
--- a/src/control/view_publisher.cpp
+++ b/src/control/view_publisher.cpp
@@ -138,7 +138,7 @@
     made.config = with_registry();
     made.evacuations = evacuations_;
     made.evacuated_servers = evacuated_servers_;
-    made.published = known_.configurations.published();
+    made.published = known_.configurations.file_in_force();
     made.members = known_.members.members();
     for (const auto& record : known_.beliefs.records()) {
         auto belief = membership::to_belief(record);
--- a/src/io/exchange_codec.cpp
+++ b/src/io/exchange_codec.cpp
@@ -18,7 +18,7 @@
 using membership::exchange_message;
 using membership::listening;
 using membership::member_record;
-using membership::platform_word;
+using membership::platform_status;
 using membership::quarantine_record;
 using membership::records_message;
 using membership::records_request;
@@ -183,17 +183,17 @@
                    {"g", value.tables.registry},
                    {"q", value.tables.quarantine}};
     // What most digests do not have is left out.
-    if (value.asks != 0) {
-        object["a"] = value.asks;
+    if (value.query_epoch != 0) {
+        object["a"] = value.query_epoch;
     }
-    if (value.answers != 0) {
-        object["w"] = value.answers;
+    if (value.answered_epoch != 0) {
+        object["w"] = value.answered_epoch;
     }
     if (value.refused != 0) {
         object["x"] = value.refused;
     }
-    if (value.listens != listening::as_before) {
-        object["l"] = static_cast<unsigned>(value.listens);
+    if (value.subscription != listening::none) {
+        object["l"] = static_cast<unsigned>(value.subscription);
     }
     return object;
 }
@@ -229,7 +229,7 @@
     if (!value.registry_buckets.empty()) {
         object["gb"] = value.registry_buckets;
     }
-    if (value.whole_quarantine) {
+    if (value.complete_quarantine) {
         object["wq"] = true;
     }
     if (value.answers_request) {
@@ -252,8 +252,8 @@
 
 exchange_message read_digest(const json& from, time_point) {
     digest_message value;
-    value.asks = read_number_or<std::uint64_t>(from, "a", 0);
-    value.answers = read_number_or<std::uint64_t>(from, "w", 0);
+    value.query_epoch = read_number_or<std::uint64_t>(from, "a", 0);
+    value.answered_epoch = read_number_or<std::uint64_t>(from, "w", 0);
     value.revision = read_number<std::uint64_t>(from.at("r"));
     value.refused = read_number_or<std::uint64_t>(from, "x", 0);
     value.tables.members = read_number<std::uint64_t>(from.at("m"));
@@ -262,7 +262,7 @@
     value.tables.quarantine = read_number<std::uint64_t>(from.at("q"));
     const auto listens = from.find("l");
     if (listens != from.end()) {
-        value.listens = read_enum(*listens, listening::declined);
+        value.subscription = read_enum(*listens, listening::declined);
     }
     return value;
 }
@@ -307,7 +307,7 @@
     value.member_buckets = read_buckets(from, "mb");
     value.belief_buckets = read_buckets(from, "bb");
     value.registry_buckets = read_buckets(from, "gb");
-    value.whole_quarantine = from.value("wq", false);
+    value.complete_quarantine = from.value("wq", false);
     value.answers_request = from.value("an", false);
     return value;
 }
@@ -327,7 +327,7 @@
                                  from.at("t").get_binary()};
 }
 
-json write_message(const platform_word& value, time_point) {
+json write_message(const platform_status& value, time_point) {
     return {{"n", value.reader},
             {"a", value.age.count()},
             {"g", value.registry},
@@ -335,7 +335,7 @@
 }
 
 exchange_message read_word(const json& from, time_point) {
-    platform_word value;
+    platform_status value;
     value.reader = from.at("n").get<std::string>();
     value.age = std::min(duration(read_age(from.at("a"))), longest_age);
     value.registry = read_number<std::uint64_t>(from.at("g"));
--- a/src/membership/configuration_exchange.cpp
+++ b/src/membership/configuration_exchange.cpp
@@ -27,7 +27,7 @@
 
 configuration_exchange::configuration_exchange(
     configuration_register& configurations, duration answer_timeout)
-    : configurations_(configurations), answer_within_(answer_timeout) {}
+    : configurations_(configurations), answer_timeout_(answer_timeout) {}
 
 revision_message configuration_exchange::own_revision() const {
     return {configurations_.revision(), configurations_.refused_revision()};
@@ -36,107 +36,109 @@
 bool configuration_exchange::lacks(const revision_message& theirs) const {
     const auto mine = own_revision();
     const bool newer = theirs.revision > mine.revision &&
-                       turned_down_.count(theirs.revision) == 0;
+                       rejected_revisions_.count(theirs.revision) == 0;
     return newer || theirs.refused > std::max(mine.refused, mine.revision);
 }
 
 // Whether a requested file is still expected. On a busy link it takes a while;
 // a further request for each newer announcement would bring as many whole files
 // and load the link even more.
-bool configuration_exchange::is_awaited(time_point now) const {
-    if (!asked_ || now >= asked_->until) {
+bool configuration_exchange::has_open_request(time_point now) const {
+    if (!open_request_ || now >= open_request_->deadline) {
         return false;
     }
-    const auto asked_peer = words_.find(asked_->from);
-    return asked_peer != words_.end() && lacks(asked_peer->second.theirs);
+    const auto asked_peer = announcements_.find(open_request_->peer);
+    return asked_peer != announcements_.end() &&
+           lacks(asked_peer->second.announced);
 }
 
 bool configuration_exchange::lacks_any() const {
-    return lacks(newest_word_) ||
-           std::any_of(words_.begin(), words_.end(), [this](const auto& each) {
-               return lacks(each.second.theirs);
-           });
+    return lacks(newest_announcement_) ||
+           std::any_of(
+               announcements_.begin(), announcements_.end(),
+               [this](const auto& each) { return lacks(each.second.theirs); });
 }
 
 // A newer announcement changes which file is requested, but never delays the
 // request. Otherwise changes that follow each other within the delay would
 // postpone the request for as long as they go on, and so would links that are
 // lost within the delay.
-void configuration_exchange::hear(const std::string& peer,
-                                  const revision_message& theirs, duration wait,
-                                  time_point now) {
-    note_named(peer, theirs.revision, now);
+void configuration_exchange::handle_announcement(const std::string& peer,
+                                                 const revision_message& theirs,
+                                                 duration wait,
+                                                 time_point now) {
+    record_announced(peer, theirs.revision, now);
     const auto request_at = now + wait;
-    ask_at_ = lacks_any() ? std::min(ask_at_, request_at) : request_at;
-    newest_word_ = newest_of(newest_word_, theirs);
-    auto& announcement = words_[peer];
-    if (!lacks(announcement.theirs)) {
-        announcement.ask_again_at = now;
-        forget_asked(peer);
+    request_at_ = lacks_any() ? std::min(request_at_, request_at) : request_at;
+    newest_announcement_ = newest_of(newest_announcement_, theirs);
+    auto& announcement = announcements_[peer];
+    if (!lacks(announcement.announced)) {
+        announcement.next_request_at = now;
+        clear_open_request(peer);
     }
-    announcement.theirs = newest_of(announcement.theirs, theirs);
+    announcement.announced = newest_of(announcement.announced, theirs);
 }
 
-void configuration_exchange::note_named(const std::string& peer,
-                                        std::uint64_t revision,
-                                        time_point now) {
-    if (revision > named_) {
-        named_ = revision;
-        named_by_ = peer;
+void configuration_exchange::record_announced(const std::string& peer,
+                                              std::uint64_t revision,
+                                              time_point now) {
+    if (revision > newest_announced_) {
+        newest_announced_ = revision;
+        newest_announced_by_ = peer;
     }
     const auto mine = configurations_.revision();
-    const bool known_outdated = behind_ && behind_->in_force == mine;
+    const bool known_outdated = outdated_ && outdated_->in_force == mine;
     if (revision > mine && !known_outdated) {
-        behind_ = time_behind{mine, now, 0};
+        outdated_ = outdated_period{mine, now, 0};
     }
 }
 
-std::optional<awaited_configuration>
-configuration_exchange::awaited(time_point now) const {
+std::optional<pending_configuration>
+configuration_exchange::pending(time_point now) const {
     const auto mine = configurations_.revision();
-    const bool outdated = behind_ && behind_->in_force == mine;
-    if (!outdated || !lacks({named_, 0})) {
+    const bool outdated = outdated_ && outdated_->in_force == mine;
+    if (!outdated || !lacks({newest_announced_, 0})) {
         return std::nullopt;
     }
-    return awaited_configuration{named_, named_by_, now - behind_->since,
-                                 behind_->asked};
+    return pending_configuration{newest_announced_, newest_announced_by_,
+                                 now - outdated_->since, outdated_->requests};
 }
 
 std::string configuration_exchange::sender_of(std::uint64_t revision) const {
-    return received_.revision == revision ? received_.from : std::string();
+    return received_.revision == revision ? received_.peer : std::string();
 }
 
-bool configuration_exchange::has_named() const {
+bool configuration_exchange::has_newest_announced() const {
     const auto mine = own_revision();
-    return std::max(mine.revision, mine.refused) >= named_;
+    return std::max(mine.revision, mine.refused) >= newest_announced_;
 }
 
-void configuration_exchange::forget_asked(const std::string& peer) {
-    if (asked_ && asked_->from == peer) {
-        asked_.reset();
+void configuration_exchange::clear_open_request(const std::string& peer) {
+    if (open_request_ && open_request_->peer == peer) {
+        open_request_.reset();
     }
 }
 
-void configuration_exchange::lost(const std::string& peer) {
-    words_.erase(peer);
-    forget_asked(peer);
+void configuration_exchange::handle_link_down(const std::string& peer) {
+    announcements_.erase(peer);
+    clear_open_request(peer);
 }
 
 // Among the peers that announced a missing file: the one with the fewest
 // unanswered requests, and among equals the one with the newest file.
-configuration_exchange::words::iterator
-configuration_exchange::best_to_ask(time_point now) {
-    const auto rank = [](const peer_word& announcement) {
-        return std::make_tuple(-static_cast<int>(announcement.unanswered),
-                               announcement.theirs.revision,
-                               announcement.theirs.refused);
+configuration_exchange::announcements::iterator
+configuration_exchange::best_request_target(time_point now) {
+    const auto rank = [](const peer_announcement& announcement) {
+        return std::make_tuple(
+            -static_cast<int>(announcement.unanswered_requests),
+            announcement.announced.revision, announcement.announced.refused);
     };
-    auto best = words_.end();
-    for (auto candidate = words_.begin(); candidate != words_.end();
-         ++candidate) {
-        const bool due = now >= candidate->second.ask_again_at &&
-                         lacks(candidate->second.theirs);
-        if (due && (best == words_.end() ||
+    auto best = announcements_.end();
+    for (auto candidate = announcements_.begin();
+         candidate != announcements_.end(); ++candidate) {
+        const bool due = now >= candidate->second.next_request_at &&
+                         lacks(candidate->second.announced);
+        if (due && (best == announcements_.end() ||
                     rank(best->second) < rank(candidate->second))) {
             best = candidate;
         }
@@ -147,24 +149,24 @@
 std::optional<addressed_message>
 configuration_exchange::due_request(time_point now) {
     if (const auto refused = configurations_.refused_revision()) {
-        turn_down(refused);
+        mark_rejected(refused);
     }
-    if (now < ask_at_ || is_awaited(now)) {
+    if (now < request_at_ || has_open_request(now)) {
         return std::nullopt;
     }
-    const auto best = best_to_ask(now);
-    if (best == words_.end()) {
+    const auto best = best_request_target(now);
+    if (best == announcements_.end()) {
         return std::nullopt;
     }
     auto& [peer, announcement] = *best;
-    asked_ = asked_file{peer, now + answer_within_};
+    open_request_ = open_request{peer, now + answer_timeout_};
     // The peer may only be slow; an early repeat would slow it down further.
-    announcement.ask_again_at =
-        now + (answer_within_ * (1U << announcement.unanswered));
-    announcement.unanswered =
-        std::min(announcement.unanswered + 1, max_delay_doublings);
-    if (behind_) {
-        ++behind_->asked;
+    announcement.next_request_at =
+        now + (answer_timeout_ * (1U << announcement.unanswered_requests));
+    announcement.unanswered_requests =
+        std::min(announcement.unanswered_requests + 1, max_delay_doublings);
+    if (outdated_) {
+        ++outdated_->requests;
     }
     const auto mine = own_revision();
     return addressed_message{
@@ -174,30 +176,31 @@
 
 // A peer sends the newest file that it has. It may no longer have the one that
 // it announced before, so an equal or newer file clears the announcement.
-void configuration_exchange::note_sent(const std::string& peer,
-                                       std::uint64_t revision) {
-    auto& announcement = words_[peer];
-    if (revision >= announcement.theirs.revision) {
-        announcement.theirs.revision = 0;
+void configuration_exchange::record_received(const std::string& peer,
+                                             std::uint64_t revision) {
+    auto& announcement = announcements_[peer];
+    if (revision >= announcement.announced.revision) {
+        announcement.announced.revision = 0;
     }
-    announcement.unanswered -= announcement.unanswered > 0 ? 1 : 0;
+    announcement.unanswered_requests -=
+        announcement.unanswered_requests > 0 ? 1 : 0;
 }
 
 // Peers of another release may have a file in force that is invalid here. It is
 // remembered, so that it is not requested again with every announcement.
-void configuration_exchange::turn_down(std::uint64_t revision) {
-    turned_down_.insert(revision);
-    if (turned_down_.size() > max_rejected_revisions) {
-        turned_down_.erase(turned_down_.begin());
+void configuration_exchange::mark_rejected(std::uint64_t revision) {
+    rejected_revisions_.insert(revision);
+    if (rejected_revisions_.size() > max_rejected_revisions) {
+        rejected_revisions_.erase(rejected_revisions_.begin());
     }
 }
 
 configuration_message
-configuration_exchange::message_of(const configuration_text& file) {
-    if (packed_.revision != file.revision) {
-        packed_ = {file.revision, pack(file.text)};
+configuration_exchange::packed_message(const configuration_text& file) {
+    if (last_packed_.revision != file.revision) {
+        last_packed_ = {file.revision, pack(file.text)};
     }
-    return packed_;
+    return last_packed_;
 }
 
 std::vector<configuration_message>
@@ -205,29 +208,29 @@
     const auto mine = own_revision();
     std::vector<configuration_message> files;
     if (mine.revision > request.revision) {
-        files.push_back(message_of(configurations_.published()));
+        files.push_back(packed_message(configurations_.file_in_force()));
     }
     if (mine.refused > std::max(request.refused, request.revision)) {
-        files.push_back(message_of(configurations_.refused_file()));
+        files.push_back(packed_message(configurations_.refused_file()));
     }
     return files;
 }
 
 result<offer_outcome>
-configuration_exchange::take(const std::string& peer,
-                             const configuration_message& message) {
-    forget_asked(peer);
+configuration_exchange::receive(const std::string& peer,
+                                const configuration_message& message) {
+    clear_open_request(peer);
     auto text = unpack(message.text, max_text_bytes);
     if (!text) {
         return text.error();
     }
-    note_sent(peer, message.revision);
+    record_received(peer, message.revision);
     const auto outcome =
         configurations_.offer({message.revision, std::move(text.value())});
     if (outcome == offer_outcome::accepted) {
         received_ = {message.revision, peer};
     } else {
-        turn_down(message.revision);
+        mark_rejected(message.revision);
     }
     return outcome;
 }
--- a/src/membership/configuration_register.cpp
+++ b/src/membership/configuration_register.cpp
@@ -14,13 +14,13 @@
     : validate_(std::move(validate)), precedence_(std::move(precedence)) {}
 
 offer_outcome configuration_register::offer(const configuration_text& file) {
-    if (file.revision == published_.revision) {
-        return compare_known(published_, file);
+    if (file.revision == file_in_force_.revision) {
+        return compare_same_revision(file_in_force_, file);
     }
     if (refused_ && file.revision == refused_file_.revision) {
-        return compare_known(refused_file_, file);
+        return compare_same_revision(refused_file_, file);
     }
-    if (!precedence_->replaces(file.revision, published_.revision)) {
+    if (!precedence_->replaces(file.revision, file_in_force_.revision)) {
         ++counters_.older;
         return offer_outcome::older;
     }
@@ -35,8 +35,8 @@
     }
     in_force_ =
         std::make_shared<const configuration>(std::move(parsed.value()));
-    published_ = file;
-    if (refused_ && refused_->revision < published_.revision) {
+    file_in_force_ = file;
+    if (refused_ && refused_->revision < file_in_force_.revision) {
         refused_.reset();
         refused_file_ = {};
     }
@@ -52,10 +52,10 @@
 // one replaced the first, instances could disagree permanently and behave
 // differently at equal revisions. The first stays, and the other is counted.
 offer_outcome
-configuration_register::compare_known(const configuration_text& known,
-                                      const configuration_text& file) {
+configuration_register::compare_same_revision(const configuration_text& known,
+                                              const configuration_text& file) {
     if (known.text == file.text) {
-        return offer_outcome::known;
+        return offer_outcome::duplicate;
     }
     ++counters_.conflicting;
     return offer_outcome::conflicting;
--- a/src/membership/peer_exchange.cpp
+++ b/src/membership/peer_exchange.cpp
@@ -12,8 +12,8 @@
 std::size_t max_subscribers(const member_record& self,
                             const exchange_timing& timing) {
     const auto by_cores =
-        timing.listeners_per_core * self.capacity.cpu_permille / 1000;
-    return std::max(by_cores, timing.fewest_listeners);
+        timing.subscribers_per_core * self.capacity.cpu_permille / 1000;
+    return std::max(by_cores, timing.min_subscribers);
 }
 
 } // namespace
@@ -25,39 +25,40 @@
       fresh_(fresh),
       timing_(timing),
       random_(seed),
-      routes_(state.members.self().id.name,
-              max_subscribers(state.members.self(), timing), timing.news, now),
-      next_digest_(now),
-      files_(state.configurations, timing.configuration_answer) {}
+      tree_(state.members.self().id.name,
+            max_subscribers(state.members.self(), timing), timing.tree, now),
+      next_digest_at_(now),
+      configurations_(state.configurations,
+                      timing.configuration_answer_timeout) {}
 
 void peer_exchange::plan(const std::set<std::string>& peers,
                          std::set<std::string> central, time_point now) {
-    planned_ = peers;
-    routes_.set_central(std::move(central));
+    planned_peers_ = peers;
+    tree_.set_central(std::move(central));
     for (const auto& peer : peers) {
         if (linked().count(peer) == 0) {
-            awaited_.emplace(peer, now + timing_.connect_grace);
+            accuse_at_.emplace(peer, now + timing_.connect_grace);
         }
     }
-    for (auto at = awaited_.begin(); at != awaited_.end();) {
-        at = peers.count(at->first) == 0 ? awaited_.erase(at) : std::next(at);
+    for (auto at = accuse_at_.begin(); at != accuse_at_.end();) {
+        at = peers.count(at->first) == 0 ? accuse_at_.erase(at) : std::next(at);
     }
 }
 
 void peer_exchange::link_up(const std::string& peer, time_point now) {
-    routes_.link_up(peer);
-    awaited_.erase(peer);
-    choose_feed(now);
-    introduce_to(peer, now);
-    if (routes_.feed() == peer) {
+    tree_.link_up(peer);
+    accuse_at_.erase(peer);
+    choose_upstream(now);
+    introduce_self(peer, now);
+    if (tree_.upstream() == peer) {
         return; // the digest that subscribes also compares tables
     }
     const auto& self = state_.members.self().id.name;
-    if (is_member(peer) && routes_.is_central(self) &&
-        routes_.is_central(peer) && self < peer) {
+    if (is_member(peer) && tree_.is_central(self) && tree_.is_central(peer) &&
+        self < peer) {
         std::uniform_int_distribution<duration::rep> wait(
-            0, timing_.greeting_spread.count());
-        greet_at_[peer] = now + duration(wait(random_));
+            0, timing_.initial_digest_jitter.count());
+        initial_digest_at_[peer] = now + duration(wait(random_));
     }
 }
 
@@ -66,7 +67,7 @@
 // not either, as when a whole fleet starts and each data centre has found only
 // its own seed. Without an introduction, each part would have its own owners
 // for the same slots.
-void peer_exchange::introduce_to(const std::string& peer, time_point now) {
+void peer_exchange::introduce_self(const std::string& peer, time_point now) {
     const auto& self = state_.members.self();
     if (is_member(peer) || self.id.incarnation == 0) {
         return;
@@ -74,44 +75,45 @@
     records_message introduction;
     introduction.members.push_back(self);
     send(peer, std::move(introduction));
-    strangers_[peer] = now + timing_.stranger_wait;
+    unknown_peers_[peer] = now + timing_.unknown_peer_delay;
 }
 
-void peer_exchange::send_due_greetings(time_point now) {
-    for (auto at = greet_at_.begin(); at != greet_at_.end();) {
+void peer_exchange::send_due_initial_digests(time_point now) {
+    for (auto at = initial_digest_at_.begin();
+         at != initial_digest_at_.end();) {
         const bool due = now >= at->second;
         if (due) {
-            send_digest(at->first, epoch_for(at->first), 0);
+            send_digest(at->first, query_epoch_for(at->first), 0);
         }
-        at = due ? greet_at_.erase(at) : std::next(at);
+        at = due ? initial_digest_at_.erase(at) : std::next(at);
     }
-    for (auto at = strangers_.begin(); at != strangers_.end();) {
+    for (auto at = unknown_peers_.begin(); at != unknown_peers_.end();) {
         const bool due = now >= at->second;
         if (due && !is_member(at->first)) {
-            send_digest(at->first, epoch_for(at->first), 0);
+            send_digest(at->first, query_epoch_for(at->first), 0);
         }
-        at = due ? strangers_.erase(at) : std::next(at);
+        at = due ? unknown_peers_.erase(at) : std::next(at);
     }
 }
 
 void peer_exchange::link_down(const std::string& peer, time_point now) {
-    routes_.link_down(peer);
-    records_awaited_.erase(peer);
-    word_of_peer_.erase(peer);
-    greet_at_.erase(peer);
-    strangers_.erase(peer);
-    not_heard_since_wake_.erase(peer);
-    files_.lost(peer);
-    if (asked_ && asked_->peer == peer) {
-        asked_.reset();
+    tree_.link_down(peer);
+    epochs_awaiting_records_.erase(peer);
+    platform_time_of_peer_.erase(peer);
+    initial_digest_at_.erase(peer);
+    unknown_peers_.erase(peer);
+    unheard_since_wakeup_.erase(peer);
+    configurations_.handle_link_down(peer);
+    if (open_records_request_ && open_records_request_->peer == peer) {
+        open_records_request_.reset();
     }
-    if (differing_ && differing_->peer == peer) {
-        differing_.reset();
+    if (next_differing_peer_ && next_differing_peer_->peer == peer) {
+        next_differing_peer_.reset();
     }
-    if (planned_.count(peer) > 0) {
-        awaited_[peer] = now + timing_.reconnect_grace;
+    if (planned_peers_.count(peer) > 0) {
+        accuse_at_[peer] = now + timing_.reconnect_grace;
     }
-    choose_feed(now);
+    choose_upstream(now);
 }
 
 // Two instances that dial each other briefly have two links. Messages on the
@@ -121,18 +123,19 @@
     if (linked().count(peer) == 0) {
         return;
     }
-    if (routes_.feed() == peer) {
-        send_digest(peer, epoch_for(peer), 0, listening::starts);
+    if (tree_.upstream() == peer) {
+        send_digest(peer, query_epoch_for(peer), 0, listening::subscribe);
     } else {
-        greet_at_[peer] = now;
+        initial_digest_at_[peer] = now;
     }
 }
 
-void peer_exchange::choose_feed(time_point now) {
-    for (const auto& change : routes_.choose_feed(state_.members, now)) {
-        ++counters_.feeds_changed;
-        send_digest(change.peer, change.start ? epoch_for(change.peer) : 0, 0,
-                    change.start ? listening::starts : listening::ends);
+void peer_exchange::choose_upstream(time_point now) {
+    for (const auto& change : tree_.choose_upstream(state_.members, now)) {
+        ++counters_.upstream_changes;
+        send_digest(
+            change.peer, change.subscribe ? query_epoch_for(change.peer) : 0, 0,
+            change.subscribe ? listening::subscribe : listening::unsubscribe);
     }
 }
 
@@ -143,49 +146,49 @@
 
 void peer_exchange::take(const std::string& peer, const digest_message& message,
                          time_point now) {
-    if (!take_listening(peer, message.listens, now)) {
+    if (!handle_subscription(peer, message.subscription, now)) {
         return;
     }
-    const bool starts = message.listens == listening::starts;
+    const bool starts = message.subscription == listening::subscribe;
     const bool same = message.tables == fingerprints_of(state_);
     counters_.digests_differed += same ? 0 : 1;
     introduced_ = introduced_ || same;
-    if (message.answers == fresh_.epoch()) {
-        not_heard_since_wake_.erase(peer);
+    if (message.answered_epoch == fresh_.epoch()) {
+        unheard_since_wakeup_.erase(peer);
     }
-    if (message.answers != 0) {
-        take_answer(peer, message.answers, same);
+    if (message.answered_epoch != 0) {
+        handle_query_answer(peer, message.answered_epoch, same);
     }
-    if (message.asks != 0 || (starts && !same)) {
-        send_digest(peer, 0, message.asks);
+    if (message.query_epoch != 0 || (starts && !same)) {
+        send_digest(peer, 0, message.query_epoch);
     }
-    want_configuration(peer, {message.revision, message.refused}, now);
+    handle_announced_revision(peer, {message.revision, message.refused}, now);
     // A new subscriber requests what it lacks and sends what it has newer.
     if (!same && !starts) {
-        want_records(peer, message.tables, now);
+        queue_records_request(peer, message.tables, now);
     }
 }
 
 // Returns false if this instance declines the peer as a subscriber, or the peer
 // declines us; the tables are then not compared with this peer.
-bool peer_exchange::take_listening(const std::string& peer, listening change,
-                                   time_point now) {
+bool peer_exchange::handle_subscription(const std::string& peer,
+                                        listening change, time_point now) {
     switch (change) {
-    case listening::as_before:
+    case listening::none:
         return true;
-    case listening::starts:
-        word_of_peer_.erase(peer);
-        if (!routes_.add_listener(peer)) {
+    case listening::subscribe:
+        platform_time_of_peer_.erase(peer);
+        if (!tree_.add_subscriber(peer)) {
             decline(peer);
             return false;
         }
         return true;
-    case listening::ends:
-        routes_.remove_listener(peer);
+    case listening::unsubscribe:
+        tree_.remove_subscriber(peer);
         return true;
     case listening::declined:
-        routes_.declined(peer, now);
-        choose_feed(now);
+        tree_.handle_declined(peer, now);
+        choose_upstream(now);
         return false;
     }
     return true;
@@ -195,26 +198,26 @@
 // the records of other members, which may accept it.
 void peer_exchange::decline(const std::string& peer) {
     if (!is_member(peer)) {
-        refer(peer);
+        send_referrals(peer);
     }
     send_digest(peer, 0, 0, listening::declined);
 }
 
 // Central instances come first, since they can serve the most subscribers.
-void peer_exchange::refer(const std::string& peer) {
+void peer_exchange::send_referrals(const std::string& peer) {
     const auto shuffled = [this](const std::set<std::string>& names) {
         std::vector<std::string> order(names.begin(), names.end());
         std::shuffle(order.begin(), order.end(), random_);
         return order;
     };
-    auto names = shuffled(routes_.central());
-    const auto listeners = shuffled(routes_.listeners());
+    auto names = shuffled(tree_.central());
+    const auto listeners = shuffled(tree_.subscribers());
     names.insert(names.end(), listeners.begin(), listeners.end());
     records_message others;
     others.members.push_back(state_.members.self());
     for (const auto& name : names) {
         const auto* known = state_.members.find(name);
-        const bool complete = others.members.size() >= timing_.referrals;
+        const bool complete = others.members.size() >= timing_.max_referrals;
         if (known != nullptr && name != peer && !complete) {
             others.members.push_back(*known);
         }
@@ -226,12 +229,12 @@
 // wake-up. If the peer's tables differ, its records follow. The view stays
 // stale until they have arrived; otherwise work would be sent to a backend
 // server that has left meanwhile.
-void peer_exchange::take_answer(const std::string& peer, std::uint64_t epoch,
-                                bool same) {
+void peer_exchange::handle_query_answer(const std::string& peer,
+                                        std::uint64_t epoch, bool same) {
     if (same) {
-        fresh_.hear(epoch);
+        fresh_.record_peer_answer(epoch);
     } else {
-        records_awaited_[peer] = epoch;
+        epochs_awaiting_records_[peer] = epoch;
     }
 }
 
@@ -239,48 +242,51 @@
 // tables differ all the time, and every instance would otherwise send its whole
 // tables to all its linked peers repeatedly, until links and processors do
 // nothing else.
-void peer_exchange::want_records(const std::string& peer,
-                                 const table_fingerprints& theirs,
-                                 time_point now) {
-    if (!differing_ || peer == differing_->peer || peer == routes_.feed()) {
-        differing_ = differing_peer{peer, theirs};
+void peer_exchange::queue_records_request(const std::string& peer,
+                                          const table_fingerprints& theirs,
+                                          time_point now) {
+    if (!next_differing_peer_ || peer == next_differing_peer_->peer ||
+        peer == tree_.upstream()) {
+        next_differing_peer_ = differing_peer{peer, theirs};
     }
-    ask_for_records(now);
+    send_due_records_request(now);
 }
 
-void peer_exchange::ask_for_records(time_point now) {
-    if (asked_ && now >= asked_->until) {
-        asked_.reset();
+void peer_exchange::send_due_records_request(time_point now) {
+    if (open_records_request_ && now >= open_records_request_->deadline) {
+        open_records_request_.reset();
     }
-    const bool pausing = now < next_request_ && fresh_.fresh();
-    if (!differing_ || asked_ || pausing) {
+    const bool pausing = now < next_records_request_at_ && fresh_.fresh();
+    if (!next_differing_peer_ || open_records_request_ || pausing) {
         return;
     }
-    const auto target = std::move(*differing_);
-    differing_.reset();
-    const auto request = request_to(state_, target.tables);
+    const auto target = std::move(*next_differing_peer_);
+    next_differing_peer_.reset();
+    const auto request = difference_request(state_, target.tables);
     if (!request) {
-        hear_whole(target.peer); // the differing records have arrived meanwhile
+        handle_tables_complete(
+            target.peer); // the differing records have arrived meanwhile
         return;
     }
-    ++counters_.records_requested;
-    asked_ = asked_records{target.peer, now + timing_.records_wait};
+    ++counters_.record_requests;
+    open_records_request_ =
+        open_records_request{target.peer, now + timing_.records_answer_timeout};
     send(target.peer, *request);
 }
 
 // Called when all records that the peer had when it answered are present here.
-void peer_exchange::hear_whole(const std::string& peer) {
+void peer_exchange::handle_tables_complete(const std::string& peer) {
     introduced_ = true;
-    const auto awaited = records_awaited_.find(peer);
-    if (awaited != records_awaited_.end()) {
-        fresh_.hear(awaited->second);
-        records_awaited_.erase(awaited);
+    const auto awaited = epochs_awaiting_records_.find(peer);
+    if (awaited != epochs_awaiting_records_.end()) {
+        fresh_.record_peer_answer(awaited->second);
+        epochs_awaiting_records_.erase(awaited);
     }
 }
 
 void peer_exchange::take(const std::string& peer,
                          const records_request& message, time_point) {
-    send(peer, answer_to(state_, message));
+    send(peer, answer_request(state_, message));
 }
 
 void peer_exchange::take(const std::string& peer,
@@ -288,13 +294,13 @@
     counters_.records_received += count_of(message);
     merge_records(peer, message, now);
     if (message.answers_request) {
-        hear_whole(peer);
-        if (asked_ && asked_->peer == peer) {
-            asked_.reset();
-            next_request_ = now + timing_.request_pause;
+        handle_tables_complete(peer);
+        if (open_records_request_ && open_records_request_->peer == peer) {
+            open_records_request_.reset();
+            next_records_request_at_ = now + timing_.records_request_pause;
         }
     }
-    auto newer = newer_than(state_, message);
+    auto newer = missing_from(state_, message);
     if (!is_empty(newer)) {
         send(peer, std::move(newer));
     }
@@ -337,31 +343,31 @@
 
 void peer_exchange::take(const std::string& peer,
                          const revision_message& message, time_point now) {
-    want_configuration(peer, message, now);
+    handle_announced_revision(peer, message, now);
 }
 
-void peer_exchange::want_configuration(const std::string& peer,
-                                       const revision_message& theirs,
-                                       time_point now) {
-    if (theirs.revision > newest_named_) {
-        newest_named_ = theirs.revision;
-        newest_named_by_ = peer;
+void peer_exchange::handle_announced_revision(const std::string& peer,
+                                              const revision_message& theirs,
+                                              time_point now) {
+    if (theirs.revision > newest_announced_) {
+        newest_announced_ = theirs.revision;
+        newest_announced_by_ = peer;
     }
     // An instance that has just started may have read an old file from the
     // platform, so it requests the peers' file without delay until it has been
     // introduced. An instance that does not read the platform itself learns of
     // files only from peers.
     const bool expect_from_platform =
-        platform_answers_ && state_.readers.reads() && settled_;
-    const auto wait =
-        expect_from_platform ? timing_.configuration_wait : duration::zero();
-    files_.hear(peer, theirs, wait, now);
-    ask_for_configuration(now);
+        platform_answers_ && state_.readers.reads() && was_introduced_;
+    const auto wait = expect_from_platform ? timing_.configuration_request_delay
+                                           : duration::zero();
+    configurations_.handle_announcement(peer, theirs, wait, now);
+    send_due_configuration_request(now);
 }
 
 void peer_exchange::take(const std::string& peer,
                          const configuration_request& message, time_point) {
-    for (auto& file : files_.answer(message)) {
+    for (auto& file : configurations_.answer(message)) {
         ++counters_.configurations_sent;
         send(peer, std::move(file));
     }
@@ -370,52 +376,53 @@
 void peer_exchange::take(const std::string& peer,
                          const configuration_message& message, time_point now) {
     ++counters_.configurations_received;
-    const auto taken = files_.take(peer, message);
+    const auto taken = configurations_.receive(peer, message);
     if (!taken) {
         ++counters_.configurations_malformed;
-        problem_ = taken.error();
-        problem_->peer = peer;
+        last_error_ = taken.error();
+        last_error_->peer = peer;
     }
-    ask_for_configuration(now);
+    send_due_configuration_request(now);
 }
 
-void peer_exchange::take(const std::string& peer, const platform_word& message,
-                         time_point now) {
-    if (not_heard_since_wake_.count(peer) == 0) {
-        take_age(peer, message, now);
+void peer_exchange::take(const std::string& peer,
+                         const platform_status& message, time_point now) {
+    if (unheard_since_wakeup_.count(peer) == 0) {
+        handle_platform_age(peer, message, now);
     }
-    want_configuration(peer, {message.revision, 0}, now);
+    handle_announced_revision(peer, {message.revision, 0}, now);
     if (message.registry != state_.registry.fingerprint()) {
         // A message was lost, for example with a broken link. Without a request
         // now the difference would last until the next digest, and work would
         // be sent to a backend server that has left.
         auto tables = fingerprints_of(state_);
         tables.registry = message.registry;
-        want_records(peer, tables, now);
+        queue_records_request(peer, tables, now);
     }
 }
 
-void peer_exchange::take_age(const std::string& peer,
-                             const platform_word& message, time_point now) {
+void peer_exchange::handle_platform_age(const std::string& peer,
+                                        const platform_status& message,
+                                        time_point now) {
     if (state_.readers.hear(message.reader, message.age, now)) {
         state_.registry.platform_answered_other(now - message.age);
-        routes_.hear_newer(peer, now);
-        word_origin_ = peer;
+        tree_.record_newer_platform_answer(peer, now);
+        platform_status_origin_ = peer;
     }
-    auto& theirs = word_of_peer_[peer];
+    auto& theirs = platform_time_of_peer_[peer];
     theirs = std::max(theirs, now - message.age);
 }
 
 void peer_exchange::tick(time_point now) {
-    settled_ = settled_ || introduced();
-    accuse_silent(now);
+    was_introduced_ = was_introduced_ || introduced();
+    accuse_unreachable(now);
     state_.members.tick(now);
     state_.quarantine.expire(now);
-    choose_feed(now);
-    ask_for_records(now);
-    ask_for_configuration(now);
-    send_due_greetings(now);
-    send_due_digest(now);
+    choose_upstream(now);
+    send_due_records_request(now);
+    send_due_configuration_request(now);
+    send_due_initial_digests(now);
+    send_periodic_digest(now);
 }
 
 // A member that others still reach refutes the accusation, and is not accused
@@ -423,42 +430,42 @@
 // is then accused again because its refutation may have been sent just before
 // it ended. A peer whose member record has not arrived yet cannot be accused;
 // the next tick tries again.
-void peer_exchange::accuse_silent(time_point now) {
-    for (auto& [peer, deadline] : awaited_) {
+void peer_exchange::accuse_unreachable(time_point now) {
+    for (auto& [peer, deadline] : accuse_at_) {
         if (now >= deadline && state_.members.accuse(peer, now)) {
-            deadline = now + timing_.accuse_again;
+            deadline = now + timing_.accusation_interval;
             ++counters_.accusations;
         }
     }
 }
 
-void peer_exchange::ask_for_configuration(time_point now) {
-    if (auto request = files_.due_request(now)) {
+void peer_exchange::send_due_configuration_request(time_point now) {
+    if (auto request = configurations_.due_request(now)) {
         ++counters_.configurations_requested;
         outgoing_.push_back(std::move(*request));
     }
 }
 
-void peer_exchange::send_due_digest(time_point now) {
-    if (now < next_digest_ || linked().empty()) {
+void peer_exchange::send_periodic_digest(time_point now) {
+    if (now < next_digest_at_ || linked().empty()) {
         return;
     }
     const auto period = timing_.digest_period.count();
     std::uniform_int_distribution<duration::rep> jitter(period / 2,
                                                         period * 3 / 2);
-    next_digest_ = now + duration(jitter(random_));
+    next_digest_at_ = now + duration(jitter(random_));
     std::uniform_int_distribution<std::size_t> pick(0, linked().size() - 1);
     const auto peer =
         std::next(linked().begin(), static_cast<std::ptrdiff_t>(pick(random_)));
-    send_digest(*peer, epoch_for(*peer), 0);
+    send_digest(*peer, query_epoch_for(*peer), 0);
 }
 
 void peer_exchange::woke_late(time_point now) {
     state_.members.restart_suspicions(now);
-    for (auto& [peer, deadline] : awaited_) {
+    for (auto& [peer, deadline] : accuse_at_) {
         deadline = now + timing_.connect_grace;
     }
-    not_heard_since_wake_ = linked();
+    unheard_since_wakeup_ = linked();
     for (const auto& peer : linked()) {
         send_digest(peer, fresh_.epoch(), 0);
     }
@@ -466,8 +473,8 @@
 
 // The epoch for a digest to a peer: the current epoch if the view is not fresh
 // or the peer has not answered since a late wake-up, else 0 for no query.
-std::uint64_t peer_exchange::epoch_for(const std::string& peer) const {
-    const bool asks = !fresh_.fresh() || not_heard_since_wake_.count(peer) > 0;
+std::uint64_t peer_exchange::query_epoch_for(const std::string& peer) const {
+    const bool asks = !fresh_.fresh() || unheard_since_wakeup_.count(peer) > 0;
     return asks ? fresh_.epoch() : 0;
 }
 
--- a/src/membership/peer_exchange_news.cpp
+++ b/src/membership/peer_exchange_sending.cpp
@@ -48,26 +48,27 @@
 
 // Sends the platform status to the recipients of updates, except those that
 // know an equally recent answer of the platform.
-void peer_exchange::pass_on_word(time_point now) {
+void peer_exchange::relay_platform_status(time_point now) {
     const auto age = state_.readers.age(now);
     const auto& reader = state_.readers.newest_reader();
     if (reader.empty()) {
         return;
     }
-    if (reader == state_.members.self().id.name && !word_origin_.empty()) {
-        word_origin_.clear();
+    if (reader == state_.members.self().id.name &&
+        !platform_status_origin_.empty()) {
+        platform_status_origin_.clear();
     }
     std::set<std::string> outdated_peers;
-    for (const auto& peer : routes_.audience(word_origin_)) {
-        auto& theirs = word_of_peer_[peer];
-        if (now - age - theirs >= timing_.word_step) {
+    for (const auto& peer : tree_.recipients(platform_status_origin_)) {
+        auto& theirs = platform_time_of_peer_[peer];
+        if (now - age - theirs >= timing_.min_platform_status_step) {
             theirs = now - age;
             outdated_peers.insert(peer);
         }
     }
     send_to_all(outdated_peers,
-                platform_word{reader, age, state_.registry.fingerprint(),
-                              state_.configurations.revision()});
+                platform_status{reader, age, state_.registry.fingerprint(),
+                                state_.configurations.revision()});
 }
 
 digest_message peer_exchange::own_digest() const {
@@ -81,9 +82,9 @@
 void peer_exchange::send_digest(const std::string& peer, std::uint64_t asks,
                                 std::uint64_t answers, listening listens) {
     auto digest = own_digest();
-    digest.asks = asks;
-    digest.answers = answers;
-    digest.listens = listens;
+    digest.query_epoch = asks;
+    digest.answered_epoch = answers;
+    digest.subscription = listens;
     ++counters_.digests_sent;
     send(peer, digest);
 }
@@ -107,26 +108,26 @@
 // The platform status contains a fingerprint of the sender's registry table, so
 // it is sent after the changes that the fingerprint includes.
 std::vector<addressed_message> peer_exchange::take_messages(time_point now) {
-    pass_on_revision();
-    if (now >= next_relay_) {
-        pass_on_changes(now);
-        pass_on_word(now);
+    announce_revision();
+    if (now >= next_relay_at_) {
+        relay_changes(now);
+        relay_platform_status(now);
     }
     return std::exchange(outgoing_, {});
 }
 
-void peer_exchange::pass_on_revision() {
-    const auto mine = files_.own_revision();
-    if (mine.revision == announced_.revision &&
-        mine.refused == announced_.refused) {
+void peer_exchange::announce_revision() {
+    const auto mine = configurations_.own_revision();
+    if (mine.revision == announced_revision_.revision &&
+        mine.refused == announced_revision_.refused) {
         return;
     }
-    announced_ = mine;
-    const bool from_peer = mine.revision <= newest_named_;
-    send_to_all(routes_.audience(from_peer ? newest_named_by_ : ""), mine);
+    announced_revision_ = mine;
+    const bool from_peer = mine.revision <= newest_announced_;
+    send_to_all(tree_.recipients(from_peer ? newest_announced_by_ : ""), mine);
 }
 
-void peer_exchange::pass_on_changes(time_point now) {
+void peer_exchange::relay_changes(time_point now) {
     records_by_origin changes;
     const auto name_of_member = [](const auto& each) { return each.id.name; };
     const auto name_of_server = [](const auto& each) {
@@ -153,16 +154,16 @@
     if (changes.empty()) {
         return;
     }
-    next_relay_ = now + relay_wait();
-    tell_by_audience(changes);
+    next_relay_at_ = now + relay_delay();
+    send_by_recipients(changes);
 }
 
 // Peers that receive the same records share one message, which is encoded once.
-void peer_exchange::tell_by_audience(
+void peer_exchange::send_by_recipients(
     const std::map<std::string, records_message>& changes) {
     std::map<std::string, std::set<std::string>> origins_for;
     for (const auto& each : changes) {
-        for (const auto& peer : routes_.audience(each.first)) {
+        for (const auto& peer : tree_.recipients(each.first)) {
             origins_for[peer].insert(each.first);
         }
     }
@@ -175,23 +176,23 @@
         for (const auto& origin : origins) {
             append(records, changes.at(origin));
         }
-        tell(peers, std::move(records));
+        send_records(peers, std::move(records));
     }
 }
 
-duration peer_exchange::relay_wait() const {
+duration peer_exchange::relay_delay() const {
     const auto members = static_cast<duration::rep>(state_.members.present());
-    return std::min(members * timing_.relay_wait_per_member,
-                    timing_.relay_wait_limit);
+    return std::min(members * timing_.relay_delay_per_member,
+                    timing_.max_relay_delay);
 }
 
 // When many registry records changed, as when the whole list was read from the
 // platform, a digest is sent instead of the records: most peers already have
 // them from another instance, and several thousand records for each peer would
 // fill a small machine's link.
-void peer_exchange::tell(const std::set<std::string>& peers,
-                         records_message records) {
-    if (records.registry.size() <= timing_.most_told) {
+void peer_exchange::send_records(const std::set<std::string>& peers,
+                                 records_message records) {
+    if (records.registry.size() <= timing_.max_sent_registry_records) {
         send_to_all(peers, std::move(records));
         return;
     }
--- a/src/membership/reconciliation.cpp
+++ b/src/membership/reconciliation.cpp
@@ -112,8 +112,8 @@
             state.registry.fingerprint(), state.quarantine.digest()};
 }
 
-std::optional<records_request> request_to(const known_state& state,
-                                          const table_fingerprints& theirs) {
+std::optional<records_request>
+difference_request(const known_state& state, const table_fingerprints& theirs) {
     const auto mine = fingerprints_of(state);
     if (mine == theirs) {
         return std::nullopt;
@@ -132,8 +132,8 @@
     return request;
 }
 
-records_message answer_to(const known_state& state,
-                          const records_request& request) {
+records_message answer_request(const known_state& state,
+                               const records_request& request) {
     records_message answer;
     answer.answers_request = true;
     collect_differing(state.members, request.members, answer.member_buckets,
@@ -142,7 +142,7 @@
                       answer.beliefs);
     collect_differing(state.registry, request.registry, answer.registry_buckets,
                       answer.registry);
-    answer.whole_quarantine = request.quarantine;
+    answer.complete_quarantine = request.quarantine;
     if (request.quarantine) {
         answer.quarantine = state.quarantine.verdicts();
         answer.deaths = state.quarantine.deaths();
@@ -150,8 +150,8 @@
     return answer;
 }
 
-records_message newer_than(const known_state& state,
-                           const records_message& theirs) {
+records_message missing_from(const known_state& state,
+                             const records_message& theirs) {
     records_message newer;
     newer.members = missing_or_different(state.members, theirs.member_buckets,
                                          theirs.members);
@@ -159,7 +159,7 @@
                                          theirs.beliefs);
     newer.registry = missing_or_different(
         state.registry, theirs.registry_buckets, theirs.registry);
-    if (theirs.whole_quarantine) {
+    if (theirs.complete_quarantine) {
         for (const auto& mine : state.quarantine.verdicts()) {
             if (!has_verdict(theirs.quarantine, mine)) {
                 newer.quarantine.push_back(mine);
--- a/src/membership/reconciliation.hpp
+++ b/src/membership/reconciliation.hpp
@@ -15,17 +15,17 @@
 
 // The request to a peer with these fingerprints; empty if its tables equal
 // ours.
-std::optional<records_request> request_to(const known_state& state,
-                                          const table_fingerprints& theirs);
+std::optional<records_request>
+difference_request(const known_state& state, const table_fingerprints& theirs);
 
 // All our records of the buckets that differ from the requester's.
-records_message answer_to(const known_state& state,
-                          const records_request& request);
+records_message answer_request(const known_state& state,
+                               const records_request& request);
 
 // Our records that the sender of `theirs` lacks or has in another version, in
 // the buckets of which it sent all its records.
-records_message newer_than(const known_state& state,
-                           const records_message& theirs);
+records_message missing_from(const known_state& state,
+                             const records_message& theirs);
 
 bool is_empty(const records_message& message);
 std::size_t count_of(const records_message& message);
--- a/test/configuration_fencing/configuration_register_test.cpp
+++ b/test/configuration_fencing/configuration_register_test.cpp
@@ -28,7 +28,7 @@
     CHECK(configurations.offer({7, "new"}) == offer_outcome::accepted);
     CHECK(configurations.offer({6, "old"}) == offer_outcome::older);
     CHECK(configurations.revision() == 7);
-    CHECK(configurations.published().text == "new");
+    CHECK(configurations.file_in_force().text == "new");
     CHECK(configurations.counters().older == 1);
 }
 
@@ -44,7 +44,7 @@
     CHECK(configurations.refused()->revision == 2);
     CHECK(configurations.refused()->reason.detail ==
           "services[0].name: expected a name");
-    CHECK(configurations.offer({2, "bad"}) == offer_outcome::known);
+    CHECK(configurations.offer({2, "bad"}) == offer_outcome::duplicate);
     CHECK(configurations.offer({3, "better"}) == offer_outcome::accepted);
     CHECK_FALSE(configurations.refused());
 }
@@ -57,7 +57,7 @@
     configuration_register configurations(parse);
     CHECK(configurations.offer({1, "one"}) == offer_outcome::accepted);
     CHECK(configurations.offer({1, "another"}) == offer_outcome::conflicting);
-    CHECK(configurations.published().text == "one");
+    CHECK(configurations.file_in_force().text == "one");
     CHECK(configurations.offer({2, "bad"}) == offer_outcome::refused);
     CHECK(configurations.offer({2, "good"}) == offer_outcome::conflicting);
     CHECK(configurations.revision() == 1);
--- a/test/configuration_fencing/fencing_world.cpp
+++ b/test/configuration_fencing/fencing_world.cpp
@@ -88,7 +88,7 @@
 void fencing_world::send(unsigned from, unsigned to) {
     const auto& sender = *instances_[from].configurations;
     if (sender.revision() > 0) {
-        in_flight_.push_back({to, sender.published()});
+        in_flight_.push_back({to, sender.file_in_force()});
     }
     if (sender.refused()) {
         in_flight_.push_back({to, sender.refused_file()});
@@ -111,7 +111,7 @@
     }
     checked.highest = configurations.revision();
     const bool invalid =
-        configurations.published().text.find(invalid_mark) == 0;
+        configurations.file_in_force().text.find(invalid_mark) == 0;
     const bool inconsistent =
         configurations.in_force() &&
         configurations.in_force()->revision != configurations.revision();
@@ -139,7 +139,7 @@
 bool fencing_world::agreed() const {
     for (const auto& each : instances_) {
         const auto& first = *instances_.front().configurations;
-        if (each.configurations->published() != first.published() ||
+        if (each.configurations->file_in_force() != first.file_in_force() ||
             each.configurations->refused_revision() !=
                 first.refused_revision()) {
             return false;
--- a/test/control/reader_takeover_test.cpp
+++ b/test/control/reader_takeover_test.cpp
@@ -152,7 +152,7 @@
                 record.capacity.cpu_permille = 4000;
                 members.members.push_back(record);
                 tell(members);
-                tell(membership::platform_word{"pdx-1", {}, 0, 0});
+                tell(membership::platform_status{"pdx-1", {}, 0, 0});
             }
             clock.advance(step);
             timers.fire_due();
--- a/test/fuzz/message_targets.cpp
+++ b/test/fuzz/message_targets.cpp
@@ -199,7 +199,7 @@
             seed(membership::revision_message{7, 8}),
             seed(membership::configuration_request{}),
             seed(membership::configuration_message{7, membership::pack("{}")}),
-            seed(membership::platform_word{"sea-1", 5ms, 7, 8}),
+            seed(membership::platform_status{"sea-1", 5ms, 7, 8}),
             seed(request)};
 }
 
--- a/test/membership/configuration_word_test.cpp
+++ b/test/membership/configuration_announcement_test.cpp
@@ -292,7 +292,8 @@
     // an old platform status and reading the platform too late themselves.
     exchanging_instance instance(1);
     instance.exchange.link_up("pdx-1", start);
-    const platform_word word{"pdx-1", 0ms, instance.registry.fingerprint(), 0};
+    const platform_status word{"pdx-1", 0ms, instance.registry.fingerprint(),
+                               0};
     instance.fresh.beat(start);
     instance.exchange.receive("pdx-1", word, start);
     const auto woken = start + 3s;
@@ -301,7 +302,7 @@
     instance.exchange.receive("pdx-1", word, woken);
     CHECK(instance.readers.age(woken) == 3s);
     digest_message answer;
-    answer.answers = instance.fresh.epoch();
+    answer.answered_epoch = instance.fresh.epoch();
     instance.exchange.receive("pdx-1", answer, woken + 1ms);
     instance.exchange.receive("pdx-1", word, woken + 2ms);
     CHECK(instance.readers.age(woken + 2ms) == 0s);
@@ -316,7 +317,7 @@
     const auto woken = start + 3s;
     REQUIRE(instance.fresh.beat(woken));
     instance.exchange.woke_late(woken);
-    instance.fresh.hear(instance.fresh.epoch());
+    instance.fresh.record_peer_answer(instance.fresh.epoch());
     instance.exchange.take_messages(woken);
     instance.exchange.link_replaced("pdx-1", woken + 1ms);
     instance.exchange.tick(woken + 1ms);
@@ -324,7 +325,9 @@
     for (const auto& each : instance.exchange.take_messages(woken + 1ms)) {
         const auto* digest = std::get_if<digest_message>(&*each.message);
         asked +=
-            digest != nullptr && digest->asks == instance.fresh.epoch() ? 1 : 0;
+            digest != nullptr && digest->query_epoch == instance.fresh.epoch()
+                ? 1
+                : 0;
     }
     CHECK(asked > 0);
 }
@@ -350,19 +353,19 @@
     instance.configurations.offer({6, "old"});
     instance.exchange.link_up("pdx-1", start);
     instance.count_requests(start);
-    CHECK_FALSE(instance.exchange.files().awaited(start));
+    CHECK_FALSE(instance.exchange.files().pending(start));
     instance.exchange.receive("pdx-1", revision_message{7, 0}, start);
     CHECK(instance.count_requests(start) == 1);
     instance.exchange.receive("pdx-1", revision_message{9, 0}, start + 2s);
-    const auto awaited = instance.exchange.files().awaited(start + 3s);
+    const auto awaited = instance.exchange.files().pending(start + 3s);
     REQUIRE(awaited);
     CHECK(awaited->revision == 9);
-    CHECK(awaited->named_by == "pdx-1");
-    CHECK(awaited->waited == 3s);
-    CHECK(awaited->asked == 2);
+    CHECK(awaited->announced_by == "pdx-1");
+    CHECK(awaited->waiting_time == 3s);
+    CHECK(awaited->requests == 2);
     instance.exchange.receive("pdx-1", configuration_message{9, pack("new")},
                               start + 3s);
-    CHECK_FALSE(instance.exchange.files().awaited(start + 3s));
+    CHECK_FALSE(instance.exchange.files().pending(start + 3s));
     CHECK(instance.exchange.files().sender_of(9) == "pdx-1");
     CHECK(instance.exchange.files().sender_of(6).empty());
 }
--- a/test/membership/configuration_exchange_property_test.cpp
+++ b/test/membership/configuration_exchange_property_test.cpp
@@ -205,7 +205,7 @@
         open_request_->announced = from.announced;
     }
     update_missing();
-    exchange_.hear(name_of(peer), from.announced, wait_, now_);
+    exchange_.handle_announcement(name_of(peer), from.announced, wait_, now_);
     send_due_request();
 }
 
@@ -214,7 +214,7 @@
     lost.linked = false;
     lost.announced = {};
     lost.unanswered = 0;
-    exchange_.lost(name_of(peer));
+    exchange_.handle_link_down(name_of(peer));
     in_flight_.erase(
         std::remove_if(in_flight_.begin(), in_flight_.end(),
                        [&](const auto& each) { return each.peer == peer; }),
@@ -306,7 +306,8 @@
     }
     const auto sent =
         from.sends_corrupt_files ? packed_text{1, 2, 3} : file.text;
-    const auto received = exchange_.take(name_of(peer), {file.revision, sent});
+    const auto received =
+        exchange_.receive(name_of(peer), {file.revision, sent});
     RC_ASSERT(received.has_value() != from.sends_corrupt_files);
     update_missing();
 }
@@ -381,9 +382,10 @@
             const auto arrived = queue_.front();
             queue_.pop_front();
             if (arrived.bytes == announcement_bytes) {
-                receiver_exchange_.hear("pdx-1", arrived.announced, 0ms, now);
+                receiver_exchange_.handle_announcement(
+                    "pdx-1", arrived.announced, 0ms, now);
             } else {
-                REQUIRE(receiver_exchange_.take(
+                REQUIRE(receiver_exchange_.receive(
                     "pdx-1", {arrived.announced.revision, pack(valid_here)}));
             }
             send_due_file(now);
@@ -540,14 +542,14 @@
     unsigned requests = 0;
     for (duration passed{}; passed < 10s; passed += 150ms) {
         const auto now = start + passed;
-        exchange.hear("pdx-1", {7, 0}, 0ms, now);
+        exchange.handle_announcement("pdx-1", {7, 0}, 0ms, now);
         if (exchange.due_request(now)) {
             ++requests;
-            REQUIRE(exchange.take("pdx-1", {7, file}));
+            REQUIRE(exchange.receive("pdx-1", {7, file}));
         }
     }
     CHECK(requests == 1);
-    CHECK_FALSE(exchange.awaited(start + 10s));
+    CHECK_FALSE(exchange.pending(start + 10s));
 }
 
 TEST_CASE("files do not queue up on a link that is slower than the changes") {
@@ -573,9 +575,9 @@
     // first.
     configuration_register here(parse_here);
     configuration_exchange exchange(here, answer_timeout);
-    exchange.hear("pdx-1", {7, 0}, 250ms, start);
-    exchange.hear("pdx-2", {7, 0}, 250ms, start + 10ms);
-    exchange.lost("pdx-1");
+    exchange.handle_announcement("pdx-1", {7, 0}, 250ms, start);
+    exchange.handle_announcement("pdx-2", {7, 0}, 250ms, start + 10ms);
+    exchange.handle_link_down("pdx-1");
     const auto due = exchange.due_request(start + 350ms);
     REQUIRE(due);
     CHECK(due->peer == "pdx-2");
@@ -586,7 +588,7 @@
     // lost with one of two links.
     configuration_register here(parse_here);
     configuration_exchange exchange(here, answer_timeout);
-    exchange.hear("pdx-1", {7, 0}, 0ms, start);
+    exchange.handle_announcement("pdx-1", {7, 0}, 0ms, start);
     CHECK(exchange.due_request(start));
     CHECK_FALSE(exchange.due_request(start + answer_timeout - step));
     CHECK(exchange.due_request(start + answer_timeout));
@@ -604,10 +606,10 @@
     // Guards against asking a silent peer before one that would answer.
     configuration_register here(parse_here);
     configuration_exchange exchange(here, answer_timeout);
-    exchange.hear("pdx-1", {7, 0}, 0ms, start);
+    exchange.handle_announcement("pdx-1", {7, 0}, 0ms, start);
     REQUIRE(exchange.due_request(start));
-    exchange.hear("pdx-2", {7, 0}, 0ms, start + 10ms);
-    exchange.hear("pdx-3", {8, 0}, 0ms, start + 20ms);
+    exchange.handle_announcement("pdx-2", {7, 0}, 0ms, start + 10ms);
+    exchange.handle_announcement("pdx-3", {8, 0}, 0ms, start + 20ms);
     const auto second = exchange.due_request(start + answer_timeout);
     REQUIRE(second);
     CHECK(second->peer == "pdx-3");
@@ -621,10 +623,10 @@
     // silent peer.
     configuration_register here(parse_here);
     configuration_exchange exchange(here, answer_timeout);
-    exchange.hear("pdx-1", {7, 0}, 0ms, start);
+    exchange.handle_announcement("pdx-1", {7, 0}, 0ms, start);
     REQUIRE(exchange.due_request(start));
     here.offer({7, valid_here});
-    exchange.hear("pdx-2", {8, 0}, 0ms, start + 10ms);
+    exchange.handle_announcement("pdx-2", {8, 0}, 0ms, start + 10ms);
     CHECK(exchange.due_request(start + 10ms));
 }
 
--- a/test/membership/news_routes_test.cpp
+++ b/test/membership/update_tree_test.cpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include <waxwingvale/membership/news_routes.hpp>
+#include <waxwingvale/membership/update_tree.hpp>
 
 using namespace waxwingvale;
 using namespace waxwingvale::membership;
@@ -28,7 +28,7 @@
 // An ordinary instance of one of two data centres.
 struct ordinary_instance {
     member_table members{record_of("sea-5", "sea", 100), {}, start};
-    news_routes routes{"sea-5", 2, {}, start};
+    update_tree routes{"sea-5", 2, {}, start};
 
     ordinary_instance() {
         for (const auto* each : {"sea-1", "sea-4"}) {
@@ -44,8 +44,8 @@
             routes.link_up(each);
         }
     }
-    std::vector<feed_change> choose(time_point now) {
-        return routes.choose_feed(members, now);
+    std::vector<upstream_change> choose(time_point now) {
+        return routes.choose_upstream(members, now);
     }
 };
 
@@ -55,13 +55,14 @@
           "centre") {
     ordinary_instance instance;
     instance.link({"pdx-4", "sea-4", "pdx-1", "sea-1"});
-    CHECK(instance.choose(start) == std::vector<feed_change>{{"sea-1", true}});
-    CHECK(instance.routes.audience("") == names{"sea-1"});
+    CHECK(instance.choose(start) ==
+          std::vector<upstream_change>{{"sea-1", true}});
+    CHECK(instance.routes.recipients("") == names{"sea-1"});
     // An update is not sent back to the upstream peer that it came from.
-    CHECK(instance.routes.audience("sea-1").empty());
-    REQUIRE(instance.routes.add_listener("pdx-4"));
-    CHECK(instance.routes.audience("sea-1") == names{"pdx-4"});
-    CHECK(instance.routes.audience("pdx-4") == names{"sea-1"});
+    CHECK(instance.routes.recipients("sea-1").empty());
+    REQUIRE(instance.routes.add_subscriber("pdx-4"));
+    CHECK(instance.routes.recipients("sea-1") == names{"pdx-4"});
+    CHECK(instance.routes.recipients("pdx-4") == names{"sea-1"});
 }
 
 TEST_CASE("central instances do not relay each other's updates among "
@@ -72,12 +73,12 @@
     ordinary_instance instance;
     instance.routes.set_central({"sea-5", "sea-1", "pdx-1"});
     instance.link({"sea-1", "pdx-1", "sea-4"});
-    instance.routes.hear_newer("sea-1", start);
+    instance.routes.record_newer_platform_answer("sea-1", start);
     CHECK(instance.choose(start).empty());
-    CHECK(instance.routes.audience("") == names{"sea-1", "pdx-1"});
-    REQUIRE(instance.routes.add_listener("sea-4"));
-    CHECK(instance.routes.audience("sea-4") == names{"sea-1", "pdx-1"});
-    CHECK(instance.routes.audience("sea-1") == names{"sea-4"});
+    CHECK(instance.routes.recipients("") == names{"sea-1", "pdx-1"});
+    REQUIRE(instance.routes.add_subscriber("sea-4"));
+    CHECK(instance.routes.recipients("sea-4") == names{"sea-1", "pdx-1"});
+    CHECK(instance.routes.recipients("sea-1") == names{"sea-4"});
 }
 
 TEST_CASE("an upstream peer without newer platform answers is replaced") {
@@ -87,16 +88,16 @@
     ordinary_instance instance;
     instance.link({"sea-1", "pdx-1"});
     REQUIRE(instance.choose(start).size() == 1);
-    instance.routes.hear_newer("sea-1", start + 100ms);
+    instance.routes.record_newer_platform_answer("sea-1", start + 100ms);
     CHECK(instance.choose(start + 600ms).empty());
     CHECK(instance.choose(start + 900ms) ==
-          std::vector<feed_change>{{"sea-1", false}, {"pdx-1", true}});
+          std::vector<upstream_change>{{"sea-1", false}, {"pdx-1", true}});
     // If the platform is unavailable, no peer has a newer answer, and upstream
     // peers are replaced less and less often.
     instance.choose(start + 1800ms);
-    CHECK(instance.routes.feed() == "pdx-1");
+    CHECK(instance.routes.upstream() == "pdx-1");
     instance.choose(start + 2500ms);
-    CHECK(instance.routes.feed() == "sea-1");
+    CHECK(instance.routes.upstream() == "sea-1");
 }
 
 TEST_CASE("the only possible upstream peer is kept without newer platform "
@@ -107,7 +108,7 @@
     for (auto now = start; now < start + 20s; now += 100ms) {
         CHECK(instance.choose(now).empty());
     }
-    CHECK(instance.routes.feed() == "pdx-4");
+    CHECK(instance.routes.upstream() == "pdx-4");
 }
 
 TEST_CASE("a lost upstream peer is replaced at once, and by a better one "
@@ -115,14 +116,14 @@
     ordinary_instance instance;
     instance.link({"sea-1", "pdx-4"});
     REQUIRE(instance.choose(start).size() == 1);
-    instance.routes.hear_newer("sea-1", start);
+    instance.routes.record_newer_platform_answer("sea-1", start);
     instance.routes.link_down("sea-1");
     CHECK(instance.choose(start + 1ms) ==
-          std::vector<feed_change>{{"pdx-4", true}});
+          std::vector<upstream_change>{{"pdx-4", true}});
     instance.routes.link_up("sea-1");
     CHECK(instance.choose(start + 100ms).empty());
     CHECK(instance.choose(start + 600ms) ==
-          std::vector<feed_change>{{"pdx-4", false}, {"sea-1", true}});
+          std::vector<upstream_change>{{"pdx-4", false}, {"sea-1", true}});
 }
 
 TEST_CASE("a machine declines more subscribers than it can serve") {
@@ -130,22 +131,23 @@
     // start at once and know only three seeds, these would send all their
     // updates to hundreds of subscribers.
     ordinary_instance instance;
-    CHECK(instance.routes.add_listener("a"));
-    CHECK(instance.routes.add_listener("b"));
-    CHECK(instance.routes.add_listener("b"));
-    CHECK_FALSE(instance.routes.add_listener("c"));
-    instance.routes.remove_listener("a");
-    CHECK(instance.routes.add_listener("c"));
+    CHECK(instance.routes.add_subscriber("a"));
+    CHECK(instance.routes.add_subscriber("b"));
+    CHECK(instance.routes.add_subscriber("b"));
+    CHECK_FALSE(instance.routes.add_subscriber("c"));
+    instance.routes.remove_subscriber("a");
+    CHECK(instance.routes.add_subscriber("c"));
     // An instance that was declined tries another peer, and the first again
     // later.
     instance.link({"sea-1", "pdx-1"});
     REQUIRE(instance.choose(start).size() == 1);
-    instance.routes.declined("sea-1", start);
-    CHECK(instance.choose(start) == std::vector<feed_change>{{"pdx-1", true}});
-    instance.routes.hear_newer("pdx-1", start + 100ms);
+    instance.routes.handle_declined("sea-1", start);
+    CHECK(instance.choose(start) ==
+          std::vector<upstream_change>{{"pdx-1", true}});
+    instance.routes.record_newer_platform_answer("pdx-1", start + 100ms);
     CHECK(instance.choose(start + 400ms).empty());
     CHECK(instance.choose(start + 600ms) ==
-          std::vector<feed_change>{{"pdx-1", false}, {"sea-1", true}});
+          std::vector<upstream_change>{{"pdx-1", false}, {"sea-1", true}});
 }
 
 TEST_CASE("a central instance cut off from the others has an upstream peer "
@@ -156,16 +158,16 @@
     ordinary_instance instance;
     instance.routes.set_central({"sea-5", "sea-1", "pdx-1"});
     instance.link({"sea-1", "pdx-1"});
-    instance.routes.hear_newer("pdx-1", start);
+    instance.routes.record_newer_platform_answer("pdx-1", start);
     CHECK(instance.choose(start + 500ms).empty());
     REQUIRE(instance.choose(start + 800ms).size() == 1);
-    const auto upstream = instance.routes.feed();
-    instance.routes.hear_newer(upstream, start + 900ms);
+    const auto upstream = instance.routes.upstream();
+    instance.routes.record_newer_platform_answer(upstream, start + 900ms);
     CHECK(instance.choose(start + 1000ms).empty());
-    instance.routes.hear_newer(upstream == "sea-1" ? "pdx-1" : "sea-1",
-                               start + 1100ms);
+    instance.routes.record_newer_platform_answer(
+        upstream == "sea-1" ? "pdx-1" : "sea-1", start + 1100ms);
     CHECK(instance.choose(start + 1200ms) ==
-          std::vector<feed_change>{{upstream, false}});
+          std::vector<upstream_change>{{upstream, false}});
 }
 
 TEST_CASE("a peer that declines is asked less and less often") {
@@ -176,14 +178,14 @@
     unsigned asked = 0;
     for (auto now = start; now < start + 60s; now += 100ms) {
         for (const auto& change : instance.choose(now)) {
-            if (change.peer == "sea-1" && change.start) {
+            if (change.peer == "sea-1" && change.subscribe) {
                 ++asked;
-                instance.routes.declined("sea-1", now);
+                instance.routes.handle_declined("sea-1", now);
             }
         }
-        instance.routes.hear_newer("pdx-4", now);
+        instance.routes.record_newer_platform_answer("pdx-4", now);
     }
     CHECK(asked >= 3);
     CHECK(asked <= 8);
-    CHECK(instance.routes.feed() == "pdx-4");
+    CHECK(instance.routes.upstream() == "pdx-4");
 }
--- a/test/standin/node_observer.cpp
+++ b/test/standin/node_observer.cpp
@@ -103,7 +103,7 @@
 view node_observer::seen() const {
     view made;
     made.config = tables_->configurations.in_force();
-    made.published = tables_->configurations.published();
+    made.published = tables_->configurations.file_in_force();
     for (const auto& each : tables_->members.members()) {
         if (each.id.incarnation == 0) {
             continue;
