--- a/src/membership/peer_exchange_news.cpp
+++ b/src/membership/peer_exchange_sending.cpp
@@ -5,26 +5,27 @@
 
 #include "membership/reconciliation.hpp"
 
-// What an exchange tells its peers: changes, files, word of the platform.
+// The sending side of peer_exchange: changes, revisions and platform status.
 namespace waxwingvale::membership {
 
 namespace {
 
-// The peer that told us, or an empty name.
+// The peer from which the record came, or an empty name.
 std::string origin_of(const std::map<std::string, std::string>& origins,
                       const std::string& name) {
     const auto found = origins.find(name);
     return found == origins.end() ? std::string() : found->second;
 }
 
-// Records that one peer has told us, or that were learned here.
+// Records by the peer from which they came; an empty name stands for records
+// learned here.
 using records_by_origin = std::map<std::string, records_message>;
 
 template <typename Record, typename Name>
-void sort_by_origin(const std::vector<Record>& changes,
-                    const std::map<std::string, std::string>& origins,
-                    Name name_of, std::vector<Record> records_message::*list,
-                    records_by_origin& to) {
+void group_by_origin(const std::vector<Record>& changes,
+                     const std::map<std::string, std::string>& origins,
+                     Name name_of, std::vector<Record> records_message::*list,
+                     records_by_origin& to) {
     for (const auto& each : changes) {
         (to[origin_of(origins, name_of(each))].*list).push_back(each);
     }
@@ -45,27 +46,29 @@
 
 } // namespace
 
-// Peers that have it as new themselves are not told.
-void peer_exchange::pass_on_word(time_point now) {
+// Sends the platform status to the recipients of updates, except those that
+// know an equally recent answer of the platform.
+void peer_exchange::relay_platform_status(time_point now) {
     const auto age = state_.readers.age(now);
     const auto& reader = state_.readers.newest_reader();
     if (reader.empty()) {
         return;
     }
-    if (reader == state_.members.self().id.name && !word_origin_.empty()) {
-        word_origin_.clear();
+    if (reader == state_.members.self().id.name &&
+        !platform_status_origin_.empty()) {
+        platform_status_origin_.clear();
     }
-    std::set<std::string> behind;
-    for (const auto& peer : routes_.audience(word_origin_)) {
-        auto& theirs = word_of_peer_[peer];
-        if (now - age - theirs >= timing_.word_step) {
+    std::set<std::string> outdated_peers;
+    for (const auto& peer : tree_.recipients(platform_status_origin_)) {
+        auto& theirs = platform_time_of_peer_[peer];
+        if (now - age - theirs >= timing_.min_platform_status_step) {
             theirs = now - age;
-            behind.insert(peer);
+            outdated_peers.insert(peer);
         }
     }
-    send_to_all(behind,
-                platform_word{reader, age, state_.registry.fingerprint(),
-                              state_.configurations.revision()});
+    send_to_all(outdated_peers,
+                platform_status{reader, age, state_.registry.fingerprint(),
+                                state_.configurations.revision()});
 }
 
 digest_message peer_exchange::own_digest() const {
@@ -79,9 +82,9 @@
 void peer_exchange::send_digest(const std::string& peer, std::uint64_t asks,
                                 std::uint64_t answers, listening listens) {
     auto digest = own_digest();
-    digest.asks = asks;
-    digest.answers = answers;
-    digest.listens = listens;
+    digest.query_epoch = asks;
+    digest.answered_epoch = answers;
+    digest.subscription = listens;
     ++counters_.digests_sent;
     send(peer, digest);
 }
@@ -102,45 +105,46 @@
     }
 }
 
-// Word of the platform names what its sender holds: it goes out after the
-// changes that came before it.
+// The platform status contains a fingerprint of the sender's registry table, so
+// it is sent after the changes that the fingerprint includes.
 std::vector<addressed_message> peer_exchange::take_messages(time_point now) {
-    pass_on_revision();
-    if (now >= next_relay_) {
-        pass_on_changes(now);
-        pass_on_word(now);
+    announce_revision();
+    if (now >= next_relay_at_) {
+        relay_changes(now);
+        relay_platform_status(now);
     }
     return std::exchange(outgoing_, {});
 }
 
-void peer_exchange::pass_on_revision() {
-    const auto mine = files_.own_revision();
-    if (mine.revision == announced_.revision &&
-        mine.refused == announced_.refused) {
+void peer_exchange::announce_revision() {
+    const auto mine = configurations_.own_revision();
+    if (mine.revision == announced_revision_.revision &&
+        mine.refused == announced_revision_.refused) {
         return;
     }
-    announced_ = mine;
-    const bool from_peer = mine.revision <= newest_named_;
-    send_to_all(routes_.audience(from_peer ? newest_named_by_ : ""), mine);
+    announced_revision_ = mine;
+    const bool from_peer = mine.revision <= newest_announced_;
+    send_to_all(tree_.recipients(from_peer ? newest_announced_by_ : ""), mine);
 }
 
-void peer_exchange::pass_on_changes(time_point now) {
+void peer_exchange::relay_changes(time_point now) {
     records_by_origin changes;
     const auto name_of_member = [](const auto& each) { return each.id.name; };
     const auto name_of_server = [](const auto& each) {
         return each.backend_server;
     };
     const auto name_of_entry = [](const auto& each) { return each.name; };
-    sort_by_origin(state_.members.take_changes(), member_origin_,
-                   name_of_member, &records_message::members, changes);
-    sort_by_origin(state_.beliefs.take_changes(), belief_origin_,
-                   name_of_server, &records_message::beliefs, changes);
-    sort_by_origin(state_.registry.take_changes(), registry_origin_,
-                   name_of_entry, &records_message::registry, changes);
+    group_by_origin(state_.members.take_changes(), member_origin_,
+                    name_of_member, &records_message::members, changes);
+    group_by_origin(state_.beliefs.take_changes(), belief_origin_,
+                    name_of_server, &records_message::beliefs, changes);
+    group_by_origin(state_.registry.take_changes(), registry_origin_,
+                    name_of_entry, &records_message::registry, changes);
     member_origin_.clear();
     belief_origin_.clear();
     registry_origin_.clear();
-    // Few and rare: who told them is told again.
+    // Verdicts and deaths are few and rare, so their origin is not tracked and
+    // the peer that sent them receives them again.
     const auto verdicts = state_.quarantine.take_new_verdicts();
     const auto deaths = state_.quarantine.take_new_deaths();
     if (!verdicts.empty() || !deaths.empty()) {
@@ -150,44 +154,45 @@
     if (changes.empty()) {
         return;
     }
-    next_relay_ = now + relay_wait();
-    tell_by_audience(changes);
+    next_relay_at_ = now + relay_delay();
+    send_by_recipients(changes);
 }
 
-// Peers that are told the same share one message, which is encoded once.
-void peer_exchange::tell_by_audience(
+// Peers that receive the same records share one message, which is encoded once.
+void peer_exchange::send_by_recipients(
     const std::map<std::string, records_message>& changes) {
     std::map<std::string, std::set<std::string>> origins_for;
     for (const auto& each : changes) {
-        for (const auto& peer : routes_.audience(each.first)) {
+        for (const auto& peer : tree_.recipients(each.first)) {
             origins_for[peer].insert(each.first);
         }
     }
-    std::map<std::set<std::string>, std::set<std::string>> told_alike;
+    std::map<std::set<std::string>, std::set<std::string>> peers_by_origins;
     for (const auto& each : origins_for) {
-        told_alike[each.second].insert(each.first);
+        peers_by_origins[each.second].insert(each.first);
     }
-    for (const auto& [origins, peers] : told_alike) {
+    for (const auto& [origins, peers] : peers_by_origins) {
         records_message records;
         for (const auto& origin : origins) {
             append(records, changes.at(origin));
         }
-        tell(peers, std::move(records));
+        send_records(peers, std::move(records));
     }
 }
 
-duration peer_exchange::relay_wait() const {
+duration peer_exchange::relay_delay() const {
     const auto members = static_cast<duration::rep>(state_.members.present());
-    return std::min(members * timing_.relay_wait_per_member,
-                    timing_.relay_wait_limit);
+    return std::min(members * timing_.relay_delay_per_member,
+                    timing_.max_relay_delay);
 }
 
-// A whole list of backend servers that was read from the platform is offered by
-// its fingerprint: most peers have it from another, and some thousand records
-// for each of them would fill a small machine's link.
-void peer_exchange::tell(const std::set<std::string>& peers,
-                         records_message records) {
-    if (records.registry.size() <= timing_.most_told) {
+// When many registry records changed, as when the whole list was read from the
+// platform, a digest is sent instead of the records: most peers already have
+// them from another instance, and several thousand records for each peer would
+// fill a small machine's link.
+void peer_exchange::send_records(const std::set<std::string>& peers,
+                                 records_message records) {
+    if (records.registry.size() <= timing_.max_sent_registry_records) {
         send_to_all(peers, std::move(records));
         return;
     }
