--- a/include/waxwingvale/decision/attempt_budget.hpp
+++ b/include/waxwingvale/decision/attempt_budget.hpp
@@ -18,7 +18,7 @@
     // Takes a token if can_spend(); returns whether it did.
     bool try_spend();
     // Returns the token of an extra attempt that was not made after all.
-    void give_back();
+    void refund();
     void change_fraction(double fraction) { fraction_ = fraction; }
     double tokens() const { return tokens_; }
 
--- a/include/waxwingvale/decision/attempt_outcome.hpp
+++ b/include/waxwingvale/decision/attempt_outcome.hpp
@@ -6,8 +6,8 @@
 
 // What the instance observed of one attempt at a backend server by its end.
 struct attempt_facts {
-    bool sent_any_byte = false; // at least one byte was written
-    bool whole_answer = false;  // the answer arrived up to its last byte
+    bool sent_any_byte = false;   // at least one byte was written
+    bool answer_complete = false; // the answer arrived up to its last byte
     // The backend server reported that it refused the request before starting.
     bool refused_before_start = false;
     // The backend server confirmed that it cancelled the request unstarted.
--- a/include/waxwingvale/decision/hedge_policy.hpp
+++ b/include/waxwingvale/decision/hedge_policy.hpp
@@ -42,9 +42,9 @@
     double burst = 5;       // most tokens of the budget
     double quantile = 0.95; // of latency: the slowest 5 in 100 are hedged
     // Delay before a hedge while there are too few samples.
-    duration unknown_delay = std::chrono::milliseconds(50);
+    duration default_delay = std::chrono::milliseconds(50);
     // Lower bound of every delay.
-    duration shortest = std::chrono::milliseconds(1);
+    duration min_delay = std::chrono::milliseconds(1);
 };
 
 // Decides, for one request class of a service, when a slow read is hedged.
@@ -63,7 +63,7 @@
     const attempt_budget& budget() const { return budget_; }
 
 private:
-    duration retry_delay() const;
+    duration recheck_interval() const;
 
     hedge_limits limits_;
     attempt_budget budget_;
--- a/include/waxwingvale/decision/repeat_budget.hpp
+++ b/include/waxwingvale/decision/repeat_budget.hpp
@@ -31,16 +31,16 @@
 
 private:
     // Counts of one section of the window.
-    struct part {
-        time_point from{};
+    struct window_section {
+        time_point start{};
         double requests = 0;
         double repeats = 0;
     };
 
-    part& current(time_point now);
+    window_section& current_section(time_point now);
 
     repeat_limits limits_;
-    std::deque<part> parts_;
+    std::deque<window_section> sections_;
     double requests_ = 0;
     double repeats_ = 0;
 };
--- a/include/waxwingvale/decision/retry_policy.hpp
+++ b/include/waxwingvale/decision/retry_policy.hpp
@@ -47,8 +47,8 @@
 
 struct retry_limits {
     double fraction = 0.1; // of first attempts; from the service's budgets
-    double burst = 10;      // most tokens of the budget
-    unsigned attempts = 3;  // per request, the first included
+    double burst = 10;     // most tokens of the budget
+    unsigned attempts = 3; // per request, the first included
     duration come_back_in = std::chrono::milliseconds(200);
 };
 
@@ -72,8 +72,8 @@
     const attempt_budget& budget() const { return budget_; }
 
 private:
-    std::optional<give_up_reason> obstacle(const failed_attempt& failed,
-                                           time_point now) const;
+    std::optional<give_up_reason>
+    reason_against_retry(const failed_attempt& failed, time_point now) const;
 
     retry_limits limits_;
     attempt_budget budget_;
--- a/include/waxwingvale/decision/scheduler_events.hpp
+++ b/include/waxwingvale/decision/scheduler_events.hpp
@@ -91,8 +91,8 @@
 
 // A request queued at a peer, as the peer describes it.
 struct waiting_request : request_needs {
-    request_id request = 0; // as numbered by the peer
-    duration time_left{};   // until the deadline
+    request_id request = 0;              // as numbered by the peer
+    duration time_left{};                // until the deadline
     std::optional<duration> target_left; // until the target, negative after it
 };
 
--- a/include/waxwingvale/decision/scheduling_policy.hpp
+++ b/include/waxwingvale/decision/scheduling_policy.hpp
@@ -27,7 +27,7 @@
     duration failing_pause_max{30000000};
     // How long a request waits for another owner's slot rather than run on a
     // failing backend server.
-    duration failing_patience{50000};
+    duration failing_server_max_wait{50000};
 
     // Usable slots after a backend server refused a request.
     double shed_decrease = 0.7; // factor for the number of usable slots
@@ -53,32 +53,32 @@
     double longer_work_loss = 0.02;
     // A request with a target waits for a better slot if the expected loss, by
     // lateness or distance, exceeds tolerated_loss. The limit increases with
-    // the time waited, by tolerated_loss_at_last in total.
+    // the time waited, by tolerated_loss_increase in total.
     double tolerated_loss = 0.2;
-    double tolerated_loss_at_last = 0.4;
+    double tolerated_loss_increase = 0.4;
 
     // Admission.
     // Quantile of the service time that is kept free before a deadline.
     double admission_quantile = 0.98;
     // Largest share of the time to spare that a request spends in the queue.
-    double wait_share = 0.5;
+    double max_queueing_share = 0.5;
     // A request is late once the time to its target is less than the typical
     // service time plus this many standard deviations. A smaller value spends
     // more slot time on answers that miss their target; a larger one treats
     // more requests as late.
-    double in_time_deviations = 1.3;
+    double target_margin_deviations = 1.3;
     // Network time of a request and its answer between caller and instance. The
     // target includes it, and the instance has no way to measure it.
-    duration caller_travel{8000};
+    duration caller_network_time{8000};
     // One in this many requests is taken from the queue by urgency alone,
     // whatever its priority. Otherwise the highest priorities would leave the
     // others no slot for as long as an overload lasts.
-    unsigned any_priority_every = 8;
+    unsigned urgency_only_interval = 8;
     // Share of slot time that late and returning requests may count on even
     // when the requests in time need all of it.
-    double least_spare_share = 0.05;
+    double min_spare_share = 0.05;
     // Longest time after which a refused caller is told to send again.
-    duration appointment_horizon{30000000};
+    duration retry_horizon{30000000};
     // How many requests a tenant may be served ahead of its share.
     unsigned fairness_window = 8;
 
@@ -101,7 +101,7 @@
     // How often queued requests are compared with all free slots again when the
     // free slots were on servers too slow for them: the load reports of these
     // servers lose validity as they age.
-    duration recheck{10000};
+    duration recheck_interval{10000};
 
     // Slots of other owners.
     duration ask_refresh{50000}; // until all queued requests are named again
--- a/include/waxwingvale/decision/service_scheduler.hpp
+++ b/include/waxwingvale/decision/service_scheduler.hpp
@@ -29,16 +29,16 @@
 
 // The quantities by which a scheduler currently admits and refuses requests.
 struct scheduler_load {
-    bool owns = false;          // this instance owns slots of the service
-    std::size_t queued = 0;     // queued requests that can meet their target
-    std::size_t late = 0;       // queued requests that cannot
-    unsigned working_slots = 0; // of servers neither failing nor stragglers
-    double prompt_slots = 0;    // those of them on servers not slowed down
-    double spare_slots = 0;     // those that requests in time do not need
-    unsigned busy_slots = 0;    // in use, lent ones included
-    std::size_t lent = 0;       // slots granted to peers
+    bool owns_slots = false;     // this instance owns slots of the service
+    std::size_t queued = 0;      // queued requests that can meet their target
+    std::size_t queued_late = 0; // queued requests that cannot
+    unsigned working_slots = 0;  // of servers neither failing nor stragglers
+    double prompt_slots = 0;     // those of them on servers not slowed down
+    double spare_slots = 0;      // those that requests in time do not need
+    unsigned busy_slots = 0;     // in use, lent ones included
+    std::size_t lent_slots = 0;  // slots granted to peers
     double arrivals_per_second = 0;
-    std::uint64_t turned_down = 0; // requests since the start
+    std::uint64_t refused = 0; // requests since the start, those of peers too
 };
 
 // Decides, for one service on one entry instance, when and where each request
--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -68,22 +68,23 @@
 
 } // namespace
 
-const latency_estimator& class_record::known() const {
-    return comparable() ? time : rough;
+const latency_estimator& class_record::best_estimator() const {
+    return baseline_known() ? reliable_time : overall_time;
 }
 
-bool class_record::comparable() const {
-    return time.samples() >= min_reliable_samples;
+bool class_record::baseline_known() const {
+    return reliable_time.samples() >= min_reliable_samples;
 }
 
 admission::admission(const scheduling_policy& policy)
     : policy_(policy),
-      all_(new_record(default_service_time, policy.admission_quantile)) {}
+      all_classes_(
+          new_record(default_service_time, policy.admission_quantile)) {}
 
 void admission::configure(const service& config, const route_table* routes) {
     const auto configured = classes_of(config, routes);
     if (classes_.size() >= max_classes) {
-        forget_all_but(configured);
+        retain_classes(configured);
     }
     for (auto& each : classes_) {
         each.second.queue_limit = 0;
@@ -95,7 +96,7 @@
 
 // Removes the records of obsolete classes, which would leave no room for new
 // classes.
-void admission::forget_all_but(
+void admission::retain_classes(
     const std::vector<const request_class*>& configured) {
     std::unordered_set<std::string> kept;
     for (const request_class* each : configured) {
@@ -106,15 +107,17 @@
     }
 }
 
-void admission::configure_class(const service& config, const request_class& configured) {
-    const bool first = classes_.empty() && all_.rough.samples() == 0;
+void admission::configure_class(const service& config,
+                                const request_class& configured) {
+    const bool first =
+        classes_.empty() && all_classes_.overall_time.samples() == 0;
     if (classes_.count(configured.name) == 0 && classes_.size() < max_classes) {
-        const auto fresh =
-            new_record(expected_time(config, configured), policy_.admission_quantile);
+        const auto fresh = new_record(expected_time(config, configured),
+                                      policy_.admission_quantile);
         classes_.emplace(configured.name, fresh);
-        all_ = first ? fresh : all_;
+        all_classes_ = first ? fresh : all_classes_;
     }
-    if (class_record* record = record_of(configured.name)) {
+    if (class_record* record = find_or_add_record(configured.name)) {
         record->queue_limit = configured.queue_limit;
     }
 }
@@ -123,7 +126,7 @@
 // class first seen in an answer gets a new record, since requests routed by
 // host and path belong to classes that the service does not name. Until a class
 // has answers of its own, the estimate over all classes is used for it.
-class_record* admission::record_of(const std::string& request_class) {
+class_record* admission::find_or_add_record(const std::string& request_class) {
     const auto found = classes_.find(request_class);
     if (found != classes_.end()) {
         return &found->second;
@@ -131,48 +134,50 @@
     if (classes_.size() >= max_classes) {
         return nullptr;
     }
-    const auto fresh =
-        new_record(all_.known().typical(), policy_.admission_quantile);
+    const auto fresh = new_record(all_classes_.best_estimator().typical(),
+                                  policy_.admission_quantile);
     return &classes_.emplace(request_class, fresh).first->second;
 }
 
-const latency_estimator& admission::estimator(const std::string& name) const {
+const latency_estimator&
+admission::estimator_of(const std::string& name) const {
     const auto found = classes_.find(name);
-    return found == classes_.end() ? all_.known() : found->second.known();
+    return found == classes_.end() ? all_classes_.best_estimator()
+                                   : found->second.best_estimator();
 }
 
 void admission::add_service_time(const std::string& request_class,
                                  duration sample, bool reliable) {
     const auto add_to = [&](class_record& record) {
-        record.rough.add(sample);
+        record.overall_time.add(sample);
         if (reliable) {
-            record.time.add(sample);
+            record.reliable_time.add(sample);
         }
     };
-    if (class_record* record = record_of(request_class)) {
+    if (class_record* record = find_or_add_record(request_class)) {
         add_to(*record);
     }
-    add_to(all_);
+    add_to(all_classes_);
 }
 
 void admission::add_answer_size(const std::string& request_class,
                                 std::size_t bytes) {
-    if (class_record* record = record_of(request_class)) {
-        double& mean = record->answer_bytes;
+    if (class_record* record = find_or_add_record(request_class)) {
+        double& mean = record->mean_answer_bytes;
         const auto size = static_cast<double>(bytes);
         mean = mean == 0 ? size : mean + answer_size_gain * (size - mean);
     }
 }
 
-bool admission::comparable(const std::string& request_class) const {
+bool admission::baseline_known(const std::string& request_class) const {
     const auto found = classes_.find(request_class);
-    return found != classes_.end() && found->second.comparable();
+    return found != classes_.end() && found->second.baseline_known();
 }
 
 double admission::crossing_loss(const std::string& request_class) const {
     const auto found = classes_.find(request_class);
     const double bytes =
-        found == classes_.end() ? 0 : found->second.answer_bytes;
+        found == classes_.end() ? 0 : found->second.mean_answer_bytes;
     constexpr double bytes_per_kilobyte = 1000;
     return std::min(policy_.crossing_loss + policy_.crossing_loss_per_kilobyte *
                                                 bytes / bytes_per_kilobyte,
@@ -181,7 +186,7 @@
 
 work_forecast admission::forecast(const std::string& request_class,
                                   duration left) const {
-    const latency_estimator& time = estimator(request_class);
+    const latency_estimator& time = estimator_of(request_class);
     work_forecast forecast;
     forecast.typical_log = time.typical_log();
     forecast.log_spread = time.log_spread();
@@ -190,27 +195,28 @@
     return forecast;
 }
 
-time_point admission::in_time_until(const std::string& request_class,
-                                    time_point target,
-                                    double busy_log_factor) const {
-    const latency_estimator& time = estimator(request_class);
+time_point
+admission::latest_start_within_target(const std::string& request_class,
+                                      time_point target,
+                                      double busy_log_factor) const {
+    const latency_estimator& time = estimator_of(request_class);
     const double service_time_us =
         std::exp(time.typical_log() + busy_log_factor +
-                 policy_.in_time_deviations * time.log_spread());
+                 policy_.target_margin_deviations * time.log_spread());
     return target - duration(static_cast<duration::rep>(service_time_us));
 }
 
-duration admission::typical(const std::string& request_class) const {
-    return estimator(request_class).typical();
+duration admission::typical_time(const std::string& request_class) const {
+    return estimator_of(request_class).typical();
 }
 
 duration admission::mean_time(const std::string& request_class) const {
-    return estimator(request_class).mean();
+    return estimator_of(request_class).mean();
 }
 
 double admission::relative_log(const std::string& request_class,
                                duration sample) const {
-    return estimator(request_class).relative_log(sample);
+    return estimator_of(request_class).relative_log(sample);
 }
 
 time_point admission::latest_start(const request_arrived& request,
@@ -219,10 +225,10 @@
     // time left, half of the requests would complete too late and waste their
     // slots.
     const duration to_spare =
-        request.deadline - estimator(request.request_class).high() - now;
-    return now +
-           duration(static_cast<duration::rep>(
-               policy_.wait_share * static_cast<double>(to_spare.count())));
+        request.deadline - estimator_of(request.request_class).high() - now;
+    return now + duration(static_cast<duration::rep>(
+                     policy_.max_queueing_share *
+                     static_cast<double>(to_spare.count())));
 }
 
 std::size_t admission::queue_limit(const std::string& request_class) const {
@@ -232,9 +238,10 @@
 
 duration admission::time_to_serve(double requests, double slots) const {
     if (slots <= 0) {
-        return policy_.appointment_horizon;
+        return policy_.retry_horizon;
     }
-    const double time = static_cast<double>(all_.known().mean().count());
+    const double time =
+        static_cast<double>(all_classes_.best_estimator().mean().count());
     return duration(static_cast<duration::rep>(requests * time / slots));
 }
 
@@ -243,24 +250,24 @@
 // The offset places them between the times of the previous rounds.
 duration admission::next_round_offset(duration interval) {
     constexpr double golden_ratio = 0.6180339887498949;
-    ++rounds_;
-    const double turns = golden_ratio * static_cast<double>(rounds_);
+    ++retry_rounds_;
+    const double turns = golden_ratio * static_cast<double>(retry_rounds_);
     const double fraction = turns - std::floor(turns);
     return duration(static_cast<duration::rep>(
         fraction * static_cast<double>(interval.count())));
 }
 
-duration admission::next_appointment(duration backlog, double slots,
+duration admission::next_retry_delay(duration backlog, double slots,
                                      time_point now) {
     const duration interval =
         slots <= 0 ? retry_interval_without_slots
                    : std::max(time_to_serve(1.0, slots), duration(1));
     const time_point earliest = now + backlog + interval;
-    appointments_until_ = std::max(appointments_until_ + interval, earliest);
-    if (appointments_until_ > earliest + policy_.appointment_horizon) {
-        appointments_until_ = earliest + next_round_offset(interval);
+    last_retry_time_ = std::max(last_retry_time_ + interval, earliest);
+    if (last_retry_time_ > earliest + policy_.retry_horizon) {
+        last_retry_time_ = earliest + next_round_offset(interval);
     }
-    return appointments_until_ - now;
+    return last_retry_time_ - now;
 }
 
 } // namespace waxwingvale::decision
--- a/src/decision/admission.hpp
+++ b/src/decision/admission.hpp
@@ -18,15 +18,15 @@
     std::size_t queue_limit = 0; // 0: none
     // From reliable samples only: the server was not crowded, and its pace was
     // known.
-    latency_estimator time;
+    latency_estimator reliable_time;
     // From all samples; used until there are enough reliable ones.
-    latency_estimator rough;
-    double answer_bytes = 0; // running mean; 0: no answer yet
+    latency_estimator overall_time;
+    double mean_answer_bytes = 0; // running mean; 0: no answer yet
 
     // The best estimator available.
-    const latency_estimator& known() const;
+    const latency_estimator& best_estimator() const;
     // Whether there are enough reliable samples.
-    bool comparable() const;
+    bool baseline_known() const;
 };
 
 // Estimates when a queued request would complete. Assigns each refused request
@@ -44,13 +44,13 @@
                           bool reliable);
     void add_answer_size(const std::string& request_class, std::size_t bytes);
 
-    duration typical(const std::string& request_class) const;
+    duration typical_time(const std::string& request_class) const;
     duration mean_time(const std::string& request_class) const;
     double relative_log(const std::string& request_class,
                         duration sample) const;
     // Whether the class has enough reliable samples to judge other service
     // times by them.
-    bool comparable(const std::string& request_class) const;
+    bool baseline_known(const std::string& request_class) const;
     // Loss of sending an answer of the class between data centres, as a share
     // of the answer's value.
     double crossing_loss(const std::string& request_class) const;
@@ -58,8 +58,9 @@
                            duration left) const;
     // The latest start at which the answer still meets the target, on servers
     // that are slower by the given factor because they are busy.
-    time_point in_time_until(const std::string& request_class,
-                             time_point target, double busy_log_factor) const;
+    time_point latest_start_within_target(const std::string& request_class,
+                                          time_point target,
+                                          double busy_log_factor) const;
     // The latest start at which the request is still worth running.
     time_point latest_start(const request_arrived& request,
                             time_point now) const;
@@ -72,20 +73,21 @@
     // Time after which a refused request is to be sent again. Successive calls
     // space the requests at the rate at which the slots serve them, the first
     // one after the backlog.
-    duration next_appointment(duration backlog, double slots, time_point now);
+    duration next_retry_delay(duration backlog, double slots, time_point now);
 
 private:
-    void configure_class(const service& config, const request_class& configured);
-    void forget_all_but(const std::vector<const request_class*>& configured);
-    class_record* record_of(const std::string& request_class);
-    const latency_estimator& estimator(const std::string& name) const;
+    void configure_class(const service& config,
+                         const request_class& configured);
+    void retain_classes(const std::vector<const request_class*>& configured);
+    class_record* find_or_add_record(const std::string& request_class);
+    const latency_estimator& estimator_of(const std::string& name) const;
     duration next_round_offset(duration interval);
 
     scheduling_policy policy_;
     std::unordered_map<std::string, class_record> classes_;
-    class_record all_;
-    time_point appointments_until_{};
-    std::uint64_t rounds_ = 0; // how often the horizon was reached
+    class_record all_classes_;
+    time_point last_retry_time_{};
+    std::uint64_t retry_rounds_ = 0; // how often the horizon was reached
 };
 
 } // namespace waxwingvale::decision
--- a/src/decision/arrival_rate.hpp
+++ b/src/decision/arrival_rate.hpp
@@ -18,9 +18,9 @@
 private:
     double decayed(time_point now) const;
 
-    double at_last_ = 0; // per second, at the last arrival
-    time_point last_{};
-    std::optional<time_point> first_;
+    double rate_at_last_ = 0; // per second, at the last arrival
+    time_point last_arrival_{};
+    std::optional<time_point> first_arrival_;
 };
 
 } // namespace waxwingvale::decision
--- a/src/decision/attempt_budget.cpp
+++ b/src/decision/attempt_budget.cpp
@@ -19,7 +19,7 @@
     return true;
 }
 
-void attempt_budget::give_back() {
+void attempt_budget::refund() {
     add(1.0);
 }
 
--- a/src/decision/attempt_outcome.cpp
+++ b/src/decision/attempt_outcome.cpp
@@ -7,7 +7,7 @@
         facts.cancelled_before_start) {
         return run_outcome::not_run;
     }
-    return facts.whole_answer ? run_outcome::ran : run_outcome::unknown;
+    return facts.answer_complete ? run_outcome::ran : run_outcome::unknown;
 }
 
 } // namespace waxwingvale::decision
--- a/src/decision/hedge_policy.cpp
+++ b/src/decision/hedge_policy.cpp
@@ -9,16 +9,16 @@
 
 duration hedge_policy::delay() const {
     return std::max(
-        limits_.shortest,
-        latencies_.at_quantile(limits_.quantile, limits_.unknown_delay));
+        limits_.min_delay,
+        latencies_.at_quantile(limits_.quantile, limits_.default_delay));
 }
 
 // How soon to check again for a spare slot. Slots of a service become free many
 // times within one hedge delay: when the check was repeated only after a full
 // delay, most slow reads were never hedged.
-duration hedge_policy::retry_delay() const {
+duration hedge_policy::recheck_interval() const {
     constexpr int checks_per_delay = 16;
-    return std::max(limits_.shortest, delay() / checks_per_delay);
+    return std::max(limits_.min_delay, delay() / checks_per_delay);
 }
 
 hedge_decision hedge_policy::on_slow(const hedge_candidate& candidate,
@@ -38,7 +38,7 @@
     }
     // A hedge must not take a slot that a queued first attempt needs.
     if (candidate.free_slots <= candidate.waiting || !budget_.try_spend()) {
-        return hedge_later{now + retry_delay()};
+        return hedge_later{now + recheck_interval()};
     }
     return hedge_now{};
 }
--- a/src/decision/offered_load.cpp
+++ b/src/decision/offered_load.cpp
@@ -16,8 +16,8 @@
     return sum;
 }
 
-double offered_load::slots_needed_before(unsigned priority,
-                                         time_point now) const {
+double offered_load::slots_needed_above(unsigned priority,
+                                        time_point now) const {
     double sum = 0;
     const auto end = slot_seconds_.lower_bound(priority);
     for (auto it = slot_seconds_.begin(); it != end; ++it) {
--- a/src/decision/offered_load.hpp
+++ b/src/decision/offered_load.hpp
@@ -15,7 +15,7 @@
 
     double slots_needed(time_point now) const;
     // The same for the priorities higher than the given one; 0 is the highest.
-    double slots_needed_before(unsigned priority, time_point now) const;
+    double slots_needed_above(unsigned priority, time_point now) const;
     double arrivals_per_second(time_point now) const;
 
 private:
--- a/src/decision/repeat_budget.cpp
+++ b/src/decision/repeat_budget.cpp
@@ -10,27 +10,27 @@
 } // namespace
 
 // A section is dropped only when all of it lies outside the window.
-repeat_budget::part& repeat_budget::current(time_point now) {
+repeat_budget::window_section& repeat_budget::current_section(time_point now) {
     const duration length = limits_.window / sections_per_window;
-    while (!parts_.empty() &&
-           now - parts_.front().from >= limits_.window + length) {
-        requests_ -= parts_.front().requests;
-        repeats_ -= parts_.front().repeats;
-        parts_.pop_front();
+    while (!sections_.empty() &&
+           now - sections_.front().start >= limits_.window + length) {
+        requests_ -= sections_.front().requests;
+        repeats_ -= sections_.front().repeats;
+        sections_.pop_front();
     }
-    if (parts_.empty() || now - parts_.back().from >= length) {
-        parts_.push_back({now, 0, 0});
+    if (sections_.empty() || now - sections_.back().start >= length) {
+        sections_.push_back({now, 0, 0});
     }
-    return parts_.back();
+    return sections_.back();
 }
 
 void repeat_budget::on_request(time_point now) {
-    current(now).requests += 1;
+    current_section(now).requests += 1;
     requests_ += 1;
 }
 
 bool repeat_budget::try_spend(time_point now) {
-    part& section = current(now);
+    window_section& section = current_section(now);
     if (repeats_ + 1 > limits_.fraction * requests_ + limits_.extra) {
         return false;
     }
--- a/src/decision/request_queue.cpp
+++ b/src/decision/request_queue.cpp
@@ -20,7 +20,7 @@
            std::tie(b.latest_start, b.sequence);
 }
 
-double request_queue::tenant_queue::before(unsigned priority) const {
+double request_queue::tenant_queue::requests_before(unsigned priority) const {
     std::size_t sum = 0;
     for (auto it = sizes.begin(); it != sizes.upper_bound(priority); ++it) {
         sum += it->second;
@@ -29,18 +29,18 @@
 }
 
 request_queue::request_queue(unsigned fairness_window,
-                             unsigned any_priority_every)
+                             unsigned urgency_only_interval)
     : fairness_window_(fairness_window),
-      any_priority_every_(any_priority_every) {}
+      urgency_only_interval_(urgency_only_interval) {}
 
 void request_queue::set_tenants(const std::vector<tenant>& tenants) {
     for (auto& known : tenants_) {
         known.second.weight = 1;
-        known.second.named = false;
+        known.second.configured = false;
     }
     for (const tenant& named : tenants) {
         tenants_[named.name].weight = std::max(named.share, 1U);
-        tenants_[named.name].named = true;
+        tenants_[named.name].configured = true;
     }
 }
 
@@ -61,7 +61,7 @@
     if (entry.peer.empty()) {
         ++class_sizes_[entry.arrival.request_class];
     }
-    entries_.emplace(origin, stored{std::move(entry), place});
+    entries_.emplace(origin, stored_request{std::move(entry), place});
 }
 
 void request_queue::push(queued_request entry) {
@@ -105,9 +105,9 @@
 }
 
 queued_request request_queue::pop() {
-    ++taken_;
+    ++pop_count_;
     const bool ignore_priority =
-        any_priority_every_ != 0 && taken_ % any_priority_every_ == 0;
+        urgency_only_interval_ != 0 && pop_count_ % urgency_only_interval_ == 0;
     tenant_queue& queue = next_tenant(ignore_priority)->second;
     queue.served += 1.0 / queue.weight;
     return take(ignore_priority ? queue.by_urgency.begin()->origin
@@ -115,7 +115,7 @@
 }
 
 void request_queue::restore(queued_request entry) {
-    --taken_;
+    --pop_count_;
     tenant_queue& queue = queue_of(entry.arrival.tenant);
     if (queue.positions.empty()) {
         // The tenant's queue may have been removed meanwhile. A new queue with
@@ -129,7 +129,7 @@
 
 // Entries that reach 0 are removed: routes are added and removed all the time,
 // and the class of each would otherwise take memory for good.
-void request_queue::leave_class(const queued_request& entry) {
+void request_queue::decrement_class_size(const queued_request& entry) {
     if (!entry.peer.empty()) {
         return; // counted by the peer that received it
     }
@@ -145,13 +145,13 @@
     auto found = entries_.find(origin);
     queued_request entry = std::move(found->second.entry);
     tenant_queue& queue = queue_of(entry.arrival.tenant);
-    queue.positions.erase(found->second.place);
-    queue.by_urgency.erase(found->second.place);
-    --queue.sizes[found->second.place.priority];
-    by_urgency_.erase(found->second.place);
-    leave_class(entry);
+    queue.positions.erase(found->second.queue_position);
+    queue.by_urgency.erase(found->second.queue_position);
+    --queue.sizes[found->second.queue_position.priority];
+    by_urgency_.erase(found->second.queue_position);
+    decrement_class_size(entry);
     entries_.erase(found);
-    if (queue.positions.empty() && !queue.named) {
+    if (queue.positions.empty() && !queue.configured) {
         // Callers choose tenant names. If the queues of unlisted tenants were
         // kept, each name would take memory for good.
         tenants_.erase(entry.arrival.tenant);
@@ -174,8 +174,8 @@
     return take(origin);
 }
 
-void request_queue::keep_only(const std::string& peer,
-                              const std::set<request_id>& kept) {
+void request_queue::retain(const std::string& peer,
+                           const std::set<request_id>& kept) {
     std::vector<request_origin> dropped;
     for (const auto& entry : entries_) {
         const request_origin& origin = entry.first;
@@ -197,10 +197,10 @@
     return found == entries_.end() ? nullptr : &found->second.entry;
 }
 
-void request_queue::touch(const request_origin& origin, time_point now) {
+void request_queue::confirm(const request_origin& origin, time_point now) {
     const auto found = entries_.find(origin);
     if (found != entries_.end()) {
-        found->second.entry.told_at = now;
+        found->second.entry.last_confirmed_at = now;
     }
 }
 
@@ -209,7 +209,7 @@
     return found == class_sizes_.end() ? 0 : found->second;
 }
 
-time_point request_queue::most_urgent() const {
+time_point request_queue::earliest_latest_start() const {
     return by_urgency_.begin()->latest_start;
 }
 
@@ -221,15 +221,16 @@
     return sum;
 }
 
-double request_queue::ahead_of(const request_arrived& request,
-                               time_point latest_start) const {
+double request_queue::requests_ahead_of(const request_arrived& request,
+                                        time_point latest_start) const {
     double before = 0; // over all tenants
     for (const auto& named : tenants_) {
-        before += named.second.before(request.priority);
+        before += named.second.requests_before(request.priority);
     }
     const auto found = tenants_.find(request.tenant);
-    const double own =
-        found == tenants_.end() ? 0 : found->second.before(request.priority);
+    const double own = found == tenants_.end()
+                           ? 0
+                           : found->second.requests_before(request.priority);
     if (own == 0) {
         // The first of its tenant waits for at most one round of the others.
         return std::min(before, active_weight());
--- a/src/decision/request_queue.hpp
+++ b/src/decision/request_queue.hpp
@@ -32,7 +32,8 @@
     time_point arrived_at{};
     time_point latest_start{}; // starting it later is useless
     std::string peer;          // that received it; empty: this instance
-    time_point told_at{}; // when the peer last confirmed that it is queued
+    // When the peer last confirmed that the request is still queued there.
+    time_point last_confirmed_at{};
 
     request_origin origin() const { return {peer, arrival.request}; }
 };
@@ -45,9 +46,9 @@
 class request_queue {
 public:
     // `fairness_window`: how many requests a tenant may be served ahead of its
-    // share. `any_priority_every`: one in this many requests is taken by
+    // share. `urgency_only_interval`: one in this many requests is taken by
     // urgency alone; 0: none.
-    request_queue(unsigned fairness_window, unsigned any_priority_every);
+    request_queue(unsigned fairness_window, unsigned urgency_only_interval);
 
     // Sets the weights of tenants. Tenants not listed have weight 1.
     void set_tenants(const std::vector<tenant>& tenants);
@@ -61,22 +62,22 @@
     std::optional<queued_request> pop_overdue(time_point now);
     std::optional<queued_request> remove(const request_origin& origin);
     // Removes the requests of the peer except those listed.
-    void keep_only(const std::string& peer, const std::set<request_id>& kept);
+    void retain(const std::string& peer, const std::set<request_id>& kept);
 
     bool empty() const { return entries_.empty(); }
     std::size_t size() const { return entries_.size(); }
     bool contains(const request_origin& origin) const;
     const queued_request* find(const request_origin& origin) const;
     // Records that the peer confirmed that the request is still queued there.
-    void touch(const request_origin& origin, time_point now);
+    void confirm(const request_origin& origin, time_point now);
     // Number of queued requests of the class that this instance received.
     std::size_t class_size(const std::string& request_class) const;
     // Earliest latest_start in the queue. The queue must not be empty.
-    time_point most_urgent() const;
+    time_point earliest_latest_start() const;
     // Estimates how many requests would be served before the given new one,
     // taking the shares of tenants into account.
-    double ahead_of(const request_arrived& request,
-                    time_point latest_start) const;
+    double requests_ahead_of(const request_arrived& request,
+                             time_point latest_start) const;
 
 private:
     struct position {
@@ -100,32 +101,32 @@
         double weight = 1;
         // Whether the configuration lists the tenant; queues of other tenants
         // are removed when they become empty.
-        bool named = false;
+        bool configured = false;
 
         // Number of requests that a new one of this priority would wait for.
-        double before(unsigned priority) const;
+        double requests_before(unsigned priority) const;
     };
-    struct stored {
+    struct stored_request {
         queued_request entry;
-        position place;
+        position queue_position;
     };
 
     queued_request take(request_origin origin);
     tenant_queue& queue_of(const std::string& tenant_name);
     void insert(queued_request entry);
-    void leave_class(const queued_request& entry);
+    void decrement_class_size(const queued_request& entry);
     std::map<std::string, tenant_queue>::iterator
     next_tenant(bool ignore_priority);
     double active_weight() const;
 
     unsigned fairness_window_;
-    unsigned any_priority_every_;
-    std::uint64_t taken_ = 0;
+    unsigned urgency_only_interval_;
+    std::uint64_t pop_count_ = 0;
     std::uint64_t next_sequence_ = 0;
     double served_floor_ = 0; // `served` of a tenant that was idle so far
     std::map<std::string, tenant_queue> tenants_;
     std::set<position, by_urgency> by_urgency_;
-    std::map<request_origin, stored> entries_;
+    std::map<request_origin, stored_request> entries_;
     std::unordered_map<std::string, std::size_t> class_sizes_;
 };
 
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -15,7 +15,8 @@
     : limits_(limits), budget_(limits.fraction, limits.burst) {}
 
 std::optional<give_up_reason>
-retry_policy::obstacle(const failed_attempt& failed, time_point now) const {
+retry_policy::reason_against_retry(const failed_attempt& failed,
+                                   time_point now) const {
     const bool unstarted = failed.outcome == run_outcome::not_run;
     if (!unstarted && failed.nature == request_nature::at_most_once) {
         return give_up_reason::may_have_run;
@@ -34,7 +35,7 @@
 
 retry_decision retry_policy::on_failed(const failed_attempt& failed,
                                        time_point now) {
-    if (const auto reason = obstacle(failed, now)) {
+    if (const auto reason = reason_against_retry(failed, now)) {
         return give_up{*reason, limits_.come_back_in};
     }
     if (!budget_.try_spend()) {
--- a/src/decision/scheduler_dispatch.cpp
+++ b/src/decision/scheduler_dispatch.cpp
@@ -19,26 +19,27 @@
         if (request.deadline <= now_ && overdue->peer.empty()) {
             borrower_.remove(request.request);
             actions_->emplace_back(expire_request{request.request});
-        } else if (request.target && decides() && request.deadline > now_) {
+        } else if (request.target && has_usable_slots() &&
+                   request.deadline > now_) {
             enqueue_late(*overdue);
         } else {
-            turn_down(*overdue, refusal_reason::too_late);
+            decline(*overdue, refusal_reason::too_late);
         }
     }
     drop_overdue_late();
-    while (of_owners_.pop_overdue(now_)) {
+    while (other_owners_queue_.pop_overdue(now_)) {
         // The owner that received it has refused it by now.
     }
 }
 
 void service_scheduler::impl::drop_overdue_late() {
-    while (const auto overdue = late_.pop_overdue(now_)) {
+    while (const auto overdue = late_queue_.pop_overdue(now_)) {
         const request_arrived& request = overdue->arrival;
         if (request.deadline <= now_ && overdue->peer.empty()) {
             borrower_.remove(request.request);
             actions_->emplace_back(expire_request{request.request});
         } else {
-            turn_down(*overdue, refusal_reason::too_late);
+            decline(*overdue, refusal_reason::too_late);
         }
     }
 }
@@ -47,10 +48,11 @@
 // the requests queued here. A granted slot is idle for a round trip between the
 // instances. Above capacity all owners have requests queued, and exchanging
 // slots for a small difference would cost goodput.
-bool service_scheduler::impl::owners_are_more_urgent() const {
-    return !of_owners_.empty() && !queue_.empty() &&
-           of_owners_.most_urgent() + policy_.owner_urgency_margin <
-               queue_.most_urgent();
+bool service_scheduler::impl::other_owners_are_more_urgent() const {
+    return !other_owners_queue_.empty() && !queue_.empty() &&
+           other_owners_queue_.earliest_latest_start() +
+                   policy_.owner_urgency_margin <
+               queue_.earliest_latest_start();
 }
 
 // Queued requests consider all servers only from time to time, and otherwise
@@ -61,23 +63,23 @@
 // per second instead of 0.2 s, fell behind, and forwarded requests whose
 // callers had already left (waxwing-replay, mixed-shared-large, surge-3x).
 void service_scheduler::impl::dispatch() {
-    slot_choice slots = table_.take_changed();
-    if (now_ >= whole_look_at_) {
+    candidate_servers slots = table_.take_changed();
+    if (now_ >= next_full_scan_at_) {
         slots.reset();
     }
     if (!slots) {
-        whole_look_at_ = now_ + policy_.recheck;
+        next_full_scan_at_ = now_ + policy_.recheck_interval;
     }
-    if (owners_are_more_urgent()) {
-        dispatch_from(of_owners_, slots);
+    if (other_owners_are_more_urgent()) {
+        dispatch_from(other_owners_queue_, slots);
     }
     dispatch_from(queue_, slots);
-    dispatch_from(of_owners_, slots);
-    dispatch_from(late_, slots);
+    dispatch_from(other_owners_queue_, slots);
+    dispatch_from(late_queue_, slots);
 }
 
 void service_scheduler::impl::dispatch_from(request_queue& queue,
-                                            const slot_choice& slots) {
+                                            const candidate_servers& slots) {
     std::vector<queued_request> skipped;
     while (!queue.empty() && dispatch_one(queue, slots, skipped)) {
     }
@@ -89,16 +91,16 @@
 // Takes one request from the queue and assigns a slot to it, or appends it to
 // `skipped`. Returns whether to go on with the next request.
 bool service_scheduler::impl::dispatch_one(
-    request_queue& queue, const slot_choice& slots,
+    request_queue& queue, const candidate_servers& slots,
     std::vector<queued_request>& skipped) {
     if (!table_.any_room(slots, now_)) {
         return false;
     }
     queued_request entry = queue.pop();
-    if (forgotten(entry)) {
+    if (confirmation_expired(entry)) {
         return true;
     }
-    if (entry.peer.empty() && runs_stale(entry.arrival)) {
+    if (entry.peer.empty() && blocked_by_stale_view(entry.arrival)) {
         refuse(entry.arrival.request, refusal_reason::stale_view);
         return true;
     }
@@ -106,7 +108,7 @@
     const auto at =
         slots ? table_.choose(wish, now_, *slots) : table_.choose(wish, now_);
     if (at) {
-        place(entry, *at);
+        assign_slot(entry, *at);
         return true;
     }
     skipped.push_back(std::move(entry));
--- a/src/decision/scheduler_events.cpp
+++ b/src/decision/scheduler_events.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 auto fields(const request_needs& needs) {
-    return std::tie(needs.tenant, needs.request_class, needs.nature, needs.priority,
-                    needs.attempt, needs.excluded, needs.data_centres, needs.isolated,
-                    needs.only_if_spare);
+    return std::tie(needs.tenant, needs.request_class, needs.nature,
+                    needs.priority, needs.attempt, needs.excluded,
+                    needs.data_centres, needs.isolated, needs.only_if_spare);
 }
 
 } // namespace
--- a/src/decision/scheduler_grants.cpp
+++ b/src/decision/scheduler_grants.cpp
@@ -24,12 +24,12 @@
 } // namespace
 
 void service_scheduler::impl::on(const slots_asked& event) {
-    hear(event.peer);
+    note_message_from(event.peer);
     for (const request_id request : event.withdrawn) {
-        forget({event.peer, request});
+        remove_queued({event.peer, request});
     }
     if (event.whole) {
-        keep_only(event.peer, ids_of(event.waiting));
+        retain_queued(event.peer, ids_of(event.waiting));
     }
     if (event.waiting.empty() && !event.wants_word) {
         return;
@@ -43,22 +43,22 @@
     }
 }
 
-bool service_scheduler::impl::knows(const request_origin& origin) const {
-    return queue_.contains(origin) || late_.contains(origin) ||
-           of_owners_.contains(origin);
+bool service_scheduler::impl::is_queued(const request_origin& origin) const {
+    return queue_.contains(origin) || late_queue_.contains(origin) ||
+           other_owners_queue_.contains(origin);
 }
 
-void service_scheduler::impl::forget(const request_origin& origin) {
+void service_scheduler::impl::remove_queued(const request_origin& origin) {
     queue_.remove(origin);
-    late_.remove(origin);
-    of_owners_.remove(origin);
+    late_queue_.remove(origin);
+    other_owners_queue_.remove(origin);
 }
 
-void service_scheduler::impl::keep_only(const std::string& peer,
-                                        const std::set<request_id>& kept) {
-    queue_.keep_only(peer, kept);
-    late_.keep_only(peer, kept);
-    of_owners_.keep_only(peer, kept);
+void service_scheduler::impl::retain_queued(const std::string& peer,
+                                            const std::set<request_id>& kept) {
+    queue_.retain(peer, kept);
+    late_queue_.retain(peer, kept);
+    other_owners_queue_.retain(peer, kept);
 }
 
 void service_scheduler::impl::admit_from_peer(const std::string& peer,
@@ -67,10 +67,10 @@
     if (lender_.holds(origin)) {
         return; // already granted; the grant had not arrived when it was sent
     }
-    if (knows(origin)) {
-        queue_.touch(origin, now_);
-        late_.touch(origin, now_);
-        of_owners_.touch(origin, now_);
+    if (is_queued(origin)) {
+        queue_.confirm(origin, now_);
+        late_queue_.confirm(origin, now_);
+        other_owners_queue_.confirm(origin, now_);
         return;
     }
     queued_request entry;
@@ -82,7 +82,7 @@
     }
     entry.arrived_at = now_;
     entry.peer = peer;
-    entry.told_at = now_;
+    entry.last_confirmed_at = now_;
     if (find_owner(view_.owners, peer) != nullptr) {
         admit_from_owner(std::move(entry));
     } else {
@@ -96,16 +96,19 @@
     const request_arrived& request = entry.arrival;
     entry.latest_start = admission_.latest_start(request, now_);
     if (request.target) {
-        entry.latest_start = in_time_until(request);
+        entry.latest_start = latest_start_within_target(request);
     }
-    of_owners_.push(std::move(entry));
-    whole_look_at_ = now_; // the new request has not been offered any slot yet
+    other_owners_queue_.push(std::move(entry));
+    next_full_scan_at_ =
+        now_; // the new request has not been offered any slot yet
 }
 
 // Whether the peer has not confirmed for ask_lifetime that the request is still
 // queued: it has ended, or the peer is unreachable.
-bool service_scheduler::impl::forgotten(const queued_request& entry) const {
-    return !entry.peer.empty() && now_ - entry.told_at > policy_.ask_lifetime;
+bool service_scheduler::impl::confirmation_expired(
+    const queued_request& entry) const {
+    return !entry.peer.empty() &&
+           now_ - entry.last_confirmed_at > policy_.ask_lifetime;
 }
 
 std::string
@@ -119,9 +122,10 @@
 void service_scheduler::impl::grant(const queued_request& entry,
                                     slot_table::index at) {
     const request_arrived& request = entry.arrival;
-    const duration lease = std::clamp(
-        admission_.typical(request.request_class) * service_times_per_lease,
-        policy_.lease_min, policy_.lease_max);
+    const duration lease =
+        std::clamp(admission_.typical_time(request.request_class) *
+                       service_times_per_lease,
+                   policy_.lease_min, policy_.lease_max);
     const duration slow = slow_after(entry, at);
     given_grant given;
     given.origin = entry.origin();
@@ -155,20 +159,20 @@
 }
 
 void service_scheduler::impl::on(const grant_returned& event) {
-    hear(event.peer);
+    note_message_from(event.peer);
     const auto ended = lender_.take_back(event.peer, event.grant);
     if (!ended) {
         return; // its lease has expired
     }
     if (event.use) {
-        learn({ended->backend_server, ended->request_class, ended->attempt,
-               *event.use});
+        record_result({ended->backend_server, ended->request_class,
+                       ended->attempt, *event.use});
     } else if (const auto at = table_.find(ended->backend_server)) {
         table_.release(*at, ended->attempt, now_);
     }
 }
 
-void service_scheduler::impl::end_leases() {
+void service_scheduler::impl::end_expired_leases() {
     while (const auto ended = lender_.take_expired(now_)) {
         if (const auto at = table_.find(ended->backend_server)) {
             table_.release(*at, ended->attempt, now_);
@@ -177,8 +181,8 @@
 }
 
 void service_scheduler::impl::on(const grant_received& event) {
-    hear(event.peer);
-    hear_of_owner(event.peer);
+    note_message_from(event.peer);
+    note_owner_message_from(event.peer);
     const bool in_time = borrower_.received(event, now_);
     if (!in_time || !start_on_grant(event)) {
         return_unused(event);
@@ -192,7 +196,7 @@
 bool service_scheduler::impl::suits(const queued_request& entry,
                                     const grant_received& grant) const {
     const auto at = table_.find(grant.backend_server);
-    return entry.peer.empty() && !runs_stale(entry.arrival) && at &&
+    return entry.peer.empty() && !blocked_by_stale_view(entry.arrival) && at &&
            may_run_on(entry.arrival, table_.at(*at));
 }
 
@@ -201,9 +205,9 @@
 // serves it as well. An isolated request is not taken instead: only the owner
 // can ensure that nothing else runs on the server.
 std::optional<queued_request>
-service_scheduler::impl::take_for(const grant_received& grant) {
+service_scheduler::impl::take_request_for(const grant_received& grant) {
     const request_origin origin{{}, grant.request};
-    request_queue& queue = late_.contains(origin) ? late_ : queue_;
+    request_queue& queue = late_queue_.contains(origin) ? late_queue_ : queue_;
     if (const queued_request* named = queue.find(origin)) {
         return suits(*named, grant) ? queue.remove(origin) : std::nullopt;
     }
@@ -223,7 +227,7 @@
     if (!at || !table_.may_start(*at)) {
         return false;
     }
-    const auto taken = take_for(grant);
+    const auto taken = take_request_for(grant);
     if (!taken) {
         return false;
     }
@@ -244,23 +248,23 @@
 }
 
 void service_scheduler::impl::on(const ask_answered& event) {
-    hear(event.peer);
+    note_message_from(event.peer);
     if (!event.is_owner) {
         // The peer is a standby that still reaches the actual owner, which this
         // instance does not; or it does not know yet that it is an owner.
-        if (silent_.add_denying(event.peer, now_)) {
+        if (unresponsive_owners_.add_denying(event.peer, now_)) {
             apply_reachability();
         }
         return;
     }
-    hear_of_owner(event.peer);
+    note_owner_message_from(event.peer);
     borrower_.answered(event);
     for (const declined_request& declined : event.declined) {
         const auto come_back_in = borrower_.declined(event.peer, declined);
-        if (!come_back_in || decides()) {
+        if (!come_back_in || has_usable_slots()) {
             continue; // another owner or this instance may have a slot
         }
-        forget({{}, declined.request});
+        remove_queued({{}, declined.request});
         borrower_.remove(declined.request);
         actions_->emplace_back(refuse_request{declined.request,
                                               refusal_reason::too_late,
@@ -272,7 +276,7 @@
     const request_origin origin{{}, request};
     const queued_request* entry = queue_.find(origin);
     const request_arrived& arrival =
-        (entry != nullptr ? entry : late_.find(origin))->arrival;
+        (entry != nullptr ? entry : late_queue_.find(origin))->arrival;
     waiting_request described;
     static_cast<request_needs&>(described) = arrival;
     described.request = request;
@@ -283,7 +287,7 @@
     return described;
 }
 
-void service_scheduler::impl::borrow() {
+void service_scheduler::impl::ask_lenders() {
     const bool depends_on_lenders = table_.working_slots() == 0;
     borrower_.update([this](request_id request) { return describe(request); },
                      depends_on_lenders, now_, *actions_);
@@ -291,13 +295,13 @@
 
 void service_scheduler::impl::on(const peer_reachability& event) {
     if (event.reachable) {
-        linked_.insert(event.peer);
+        linked_peers_.insert(event.peer);
     } else {
-        linked_.erase(event.peer);
-        keep_only(event.peer, {});
+        linked_peers_.erase(event.peer);
+        retain_queued(event.peer, {});
     }
-    silent_.remove(event.peer);
-    if (takes_part(event.peer)) {
+    unresponsive_owners_.remove(event.peer);
+    if (is_owner_or_standby(event.peer)) {
         apply_reachability();
     }
 }
@@ -307,7 +311,8 @@
 // dozens of others when it starts, few of which are owners; recomputing the
 // slots of every server for each link took a quarter of the processor time of a
 // start (perf, 100 instances on one machine, some 40 owners of one service).
-bool service_scheduler::impl::takes_part(const std::string& peer) const {
+bool service_scheduler::impl::is_owner_or_standby(
+    const std::string& peer) const {
     const auto is_peer = [&](const slot_owner& each) {
         return each.member.name == peer;
     };
@@ -317,23 +322,23 @@
            std::any_of(standbys.begin(), standbys.end(), is_peer);
 }
 
-void service_scheduler::impl::hear(const std::string& peer) {
+void service_scheduler::impl::note_message_from(const std::string& peer) {
     borrower_.heard(peer);
-    if (silent_.heard(peer)) {
+    if (unresponsive_owners_.heard(peer)) {
         apply_reachability();
     }
 }
 
 // Records a message that only an owner sends.
-void service_scheduler::impl::hear_of_owner(const std::string& peer) {
-    if (silent_.remove(peer)) {
+void service_scheduler::impl::note_owner_message_from(const std::string& peer) {
+    if (unresponsive_owners_.remove(peer)) {
         apply_reachability();
     }
 }
 
 void service_scheduler::impl::apply_reachability() {
-    std::unordered_set<std::string> reachable = linked_;
-    for (const std::string& peer : silent_.names()) {
+    std::unordered_set<std::string> reachable = linked_peers_;
+    for (const std::string& peer : unresponsive_owners_.names()) {
         reachable.erase(peer);
     }
     view_changed effective = view_;
@@ -344,22 +349,22 @@
     static const service no_service;
     table_.apply(configured != nullptr ? *configured : no_service, effective,
                  reachable);
-    limit_repeats();
+    update_repeat_limits();
 }
 
 // The link to an owner that has stopped or lost its network stays open for a
 // while, and requests that wait for its slots would be lost meanwhile. An owner
 // that leaves a request for slots unanswered for silence_limit therefore counts
 // as unreachable: a standby is asked, or a share of its slots is used.
-void service_scheduler::impl::watch_silence() {
+void service_scheduler::impl::detect_unresponsive_owners() {
     while (const auto peer = borrower_.silent(now_)) {
-        silent_.add_silent(*peer, now_);
+        unresponsive_owners_.add_silent(*peer, now_);
         apply_reachability();
     }
 }
 
-void service_scheduler::impl::look_for_silent() {
-    for (const std::string& peer : silent_.take_due(now_)) {
+void service_scheduler::impl::check_unresponsive_owners() {
+    for (const std::string& peer : unresponsive_owners_.take_due(now_)) {
         ask_slots message;
         message.peer = peer;
         message.wants_word = true;
--- a/src/decision/scheduler_requests.cpp
+++ b/src/decision/scheduler_requests.cpp
@@ -17,36 +17,38 @@
 
 void service_scheduler::impl::on(const request_arrived& event) {
     const request_origin origin{{}, event.request};
-    if (knows(origin) || running_.count(event.request) != 0) {
+    if (is_queued(origin) || running_.count(event.request) != 0) {
         return; // its previous attempt is still queued or running
     }
     if (event.deadline <= now_) {
         actions_->emplace_back(expire_request{event.request});
         return;
     }
-    if (refuse_at_once(event)) {
+    if (refuse_if_impossible(event)) {
         return;
     }
     queued_request entry;
     entry.arrival = event;
     if (event.target) {
-        entry.arrival.target =
-            std::min(*event.target - policy_.caller_travel, event.deadline);
+        entry.arrival.target = std::min(
+            *event.target - policy_.caller_network_time, event.deadline);
     }
     entry.arrived_at = now_;
     admit(std::move(entry));
 }
 
-bool service_scheduler::impl::runs_stale(const request_arrived& request) const {
+bool service_scheduler::impl::blocked_by_stale_view(
+    const request_arrived& request) const {
     return !view_.fresh && request.nature == request_nature::at_most_once;
 }
 
-bool service_scheduler::impl::refuse_at_once(const request_arrived& request) {
-    if (runs_stale(request)) {
+bool service_scheduler::impl::refuse_if_impossible(
+    const request_arrived& request) {
+    if (blocked_by_stale_view(request)) {
         refuse(request.request, refusal_reason::stale_view);
         return true;
     }
-    if (removed_ || !table_.any_left(request)) {
+    if (service_removed_ || !table_.any_left(request)) {
         refuse(request.request, refusal_reason::no_backend_server);
         return true;
     }
@@ -64,23 +66,23 @@
 void service_scheduler::impl::admit(queued_request entry) {
     const request_arrived& request = entry.arrival;
     if (is_repeat(request)) {
-        if (decides() && !repeats_.try_spend(now_)) {
-            turn_down(entry, refusal_reason::retry_budget);
+        if (has_usable_slots() && !repeats_.try_spend(now_)) {
+            decline(entry, refusal_reason::retry_budget);
             return;
         }
     } else {
         repeats_.on_request(now_);
     }
     if (request.target) {
-        offered_.add(request.priority,
-                     admission_.mean_time(request.request_class), now_);
+        offered_load_.add(request.priority,
+                          admission_.mean_time(request.request_class), now_);
     }
-    if (place_now(entry)) {
+    if (try_assign_slot(entry)) {
         return;
     }
-    const bool may_borrow = !decides() && borrower_.has_lenders();
+    const bool may_borrow = !has_usable_slots() && borrower_.has_lenders();
     if (request.only_if_spare && !may_borrow) {
-        turn_down(entry, refusal_reason::no_spare_slot);
+        decline(entry, refusal_reason::no_spare_slot);
         return;
     }
     enqueue(std::move(entry));
@@ -92,13 +94,13 @@
 // free slots at once, none were left for the queued ones, and the value of all
 // answers was 0.886 instead of 0.936 (waxwing-replay, mixed-shared-large,
 // rush).
-bool service_scheduler::impl::place_now(const queued_request& entry) {
+bool service_scheduler::impl::try_assign_slot(const queued_request& entry) {
     if (!queue_.empty()) {
         return false;
     }
     const auto at = table_.choose(wish_of(entry), now_);
     if (at) {
-        place(entry, *at);
+        assign_slot(entry, *at);
     }
     return at.has_value();
 }
@@ -108,14 +110,14 @@
     const std::size_t limit = admission_.queue_limit(request.request_class);
     if (limit != 0 && entry.peer.empty() &&
         queue_.class_size(request.request_class) >= limit) {
-        turn_down(entry, refusal_reason::queue_full);
+        decline(entry, refusal_reason::queue_full);
         return;
     }
-    if (!decides()) {
+    if (!has_usable_slots()) {
         // The waiting time is unknown here: owners estimate it when asked.
         entry.latest_start = admission_.latest_start(request, now_);
         if (entry.latest_start < now_) {
-            turn_down(entry, refusal_reason::too_late);
+            decline(entry, refusal_reason::too_late);
             return;
         }
         if (entry.peer.empty()) {
@@ -125,10 +127,10 @@
         return;
     }
     const bool has_target = request.target.has_value();
-    entry.latest_start = has_target ? in_time_until(request)
+    entry.latest_start = has_target ? latest_start_within_target(request)
                                     : admission_.latest_start(request, now_);
     const double slots = slots_for(request);
-    const double ahead = queue_.ahead_of(request, entry.latest_start);
+    const double ahead = queue_.requests_ahead_of(request, entry.latest_start);
     // With no working slot the waiting time is unknown and counts as zero:
     // other owners may lend slots, or the servers may recover.
     const duration wait = slots > 0
@@ -140,7 +142,7 @@
         return;
     }
     if (too_late) {
-        turn_down(entry, refusal_reason::too_late);
+        decline(entry, refusal_reason::too_late);
         return;
     }
     if (entry.peer.empty()) {
@@ -154,17 +156,18 @@
 // late requests get only the slots that are left.
 void service_scheduler::impl::enqueue_late(queued_request entry) {
     entry.latest_start = admission_.latest_start(entry.arrival, now_);
-    const double ahead = static_cast<double>(queue_.size()) +
-                         late_.ahead_of(entry.arrival, entry.latest_start);
+    const double ahead =
+        static_cast<double>(queue_.size()) +
+        late_queue_.requests_ahead_of(entry.arrival, entry.latest_start);
     const duration wait = admission_.time_to_serve(ahead + 1.0, spare_slots());
     if (now_ + wait > entry.latest_start) {
-        turn_down(entry, refusal_reason::too_late);
+        decline(entry, refusal_reason::too_late);
         return;
     }
     if (entry.peer.empty()) {
         borrower_.add(entry.arrival.request);
     }
-    late_.push(std::move(entry));
+    late_queue_.push(std::move(entry));
 }
 
 duration service_scheduler::impl::backlog() const {
@@ -178,8 +181,8 @@
 // Slots that the requests in time do not need.
 double service_scheduler::impl::spare_slots() const {
     const double all = table_.paced_slots(now_);
-    return std::max(all - offered_.slots_needed(now_),
-                    policy_.least_spare_share * all);
+    return std::max(all - offered_load_.slots_needed(now_),
+                    policy_.min_spare_share * all);
 }
 
 // Slots available to a queued request: those that requests of higher priority
@@ -191,26 +194,26 @@
     }
     const double all = table_.prompt_slots(now_);
     const double left =
-        all - offered_.slots_needed_before(request.priority, now_);
-    return std::max(left, all / policy_.any_priority_every);
+        all - offered_load_.slots_needed_above(request.priority, now_);
+    return std::max(left, all / policy_.urgency_only_interval);
 }
 
-duration service_scheduler::impl::next_appointment() {
-    if (!decides() && borrower_.has_lenders()) {
+duration service_scheduler::impl::next_retry_delay() {
+    if (!has_usable_slots() && borrower_.has_lenders()) {
         // The request had too little time left to borrow a slot. The backlog of
         // the owners is unknown here. When it was computed from zero slots,
         // callers were told to come back after half a minute.
-        return admission_.typical({});
+        return admission_.typical_time({});
     }
-    const bool by_target = offered_.arrivals_per_second(now_) > 0;
+    const bool by_target = offered_load_.arrivals_per_second(now_) > 0;
     const double slots = by_target ? spare_slots() : table_.counted_slots();
-    return admission_.next_appointment(backlog(), slots, now_);
+    return admission_.next_retry_delay(backlog(), slots, now_);
 }
 
-time_point
-service_scheduler::impl::in_time_until(const request_arrived& request) const {
-    return admission_.in_time_until(request.request_class, *request.target,
-                                    table_.busy_log_factor());
+time_point service_scheduler::impl::latest_start_within_target(
+    const request_arrived& request) const {
+    return admission_.latest_start_within_target(
+        request.request_class, *request.target, table_.busy_log_factor());
 }
 
 std::optional<work_forecast>
@@ -219,7 +222,7 @@
     if (!request.target) {
         return std::nullopt;
     }
-    const bool in_time = now_ <= in_time_until(request);
+    const bool in_time = now_ <= latest_start_within_target(request);
     const time_point until = in_time ? *request.target : request.deadline;
     return admission_.forecast(request.request_class, until - now_);
 }
@@ -230,7 +233,7 @@
     const auto allowed =
         static_cast<double>((entry.latest_start - entry.arrived_at).count());
     const double used = allowed > 0 ? std::min(waited / allowed, 1.0) : 0.0;
-    return policy_.tolerated_loss + used * policy_.tolerated_loss_at_last;
+    return policy_.tolerated_loss + used * policy_.tolerated_loss_increase;
 }
 
 slot_wish service_scheduler::impl::wish_of(const queued_request& entry) const {
@@ -241,10 +244,10 @@
     wish.isolated = request.isolated;
     wish.may_sample = request.nature == request_nature::retriable;
     const bool just_arrived =
-        now_ - entry.arrived_at < policy_.failing_patience;
+        now_ - entry.arrived_at < policy_.failing_server_max_wait;
     const bool of_owner = !arrived_here && find_owner(view_.owners, entry.peer);
     wish.patient = of_owner || (borrower_.has_lenders() && just_arrived);
-    wish.typical = admission_.typical(request.request_class);
+    wish.typical = admission_.typical_time(request.request_class);
     wish.backlog = backlog();
     wish.lent = !arrived_here;
     wish.data_centre = data_centre_of(arrived_here ? self_.name : entry.peer);
@@ -254,8 +257,8 @@
     return wish;
 }
 
-void service_scheduler::impl::place(const queued_request& entry,
-                                    slot_table::index at) {
+void service_scheduler::impl::assign_slot(const queued_request& entry,
+                                          slot_table::index at) {
     if (entry.peer.empty()) {
         start(entry, at);
     } else {
@@ -295,26 +298,26 @@
     actions_->emplace_back(start_request{request.request, server, {}, 0, slow});
 }
 
-void service_scheduler::impl::turn_down(const queued_request& entry,
-                                        refusal_reason reason) {
-    ++turned_down_;
+void service_scheduler::impl::decline(const queued_request& entry,
+                                      refusal_reason reason) {
+    ++refused_;
     if (entry.peer.empty()) {
         refuse(entry.arrival.request, reason);
         return;
     }
     replies_[entry.peer].declined.push_back(
-        {entry.arrival.request, next_appointment()});
+        {entry.arrival.request, next_retry_delay()});
 }
 
 // Refuses all queued requests, since the service has been removed.
-void service_scheduler::impl::turn_down_all() {
-    for (request_queue* queue : {&queue_, &late_}) {
+void service_scheduler::impl::decline_all() {
+    for (request_queue* queue : {&queue_, &late_queue_}) {
         while (!queue->empty()) {
-            turn_down(queue->pop(), refusal_reason::no_backend_server);
+            decline(queue->pop(), refusal_reason::no_backend_server);
         }
     }
-    while (!of_owners_.empty()) {
-        of_owners_.pop(); // refused by the owner that received it
+    while (!other_owners_queue_.empty()) {
+        other_owners_queue_.pop(); // refused by the owner that received it
     }
 }
 
@@ -322,13 +325,13 @@
                                      refusal_reason reason) {
     borrower_.remove(request);
     actions_->emplace_back(
-        refuse_request{request, reason, next_appointment(), {}});
+        refuse_request{request, reason, next_retry_delay(), {}});
 }
 
 void service_scheduler::impl::on(const request_cancelled& event) {
     const request_origin origin{{}, event.request};
     queue_.remove(origin);
-    late_.remove(origin);
+    late_queue_.remove(origin);
     borrower_.remove(event.request);
 }
 
@@ -346,8 +349,9 @@
                            : now_ - ended.started_at;
     use.load = event.load;
     use.answer_bytes = event.answer_bytes;
-    if (!started_again(ended)) {
-        learn({ended.backend_server, ended.request_class, ended.attempt, use});
+    if (!server_restarted(ended)) {
+        record_result(
+            {ended.backend_server, ended.request_class, ended.attempt, use});
     }
     if (!ended.from_peer.empty()) {
         actions_->emplace_back(return_grant{ended.from_peer, ended.grant, use});
@@ -355,7 +359,7 @@
 }
 
 // Whether the backend server has restarted since the request was started.
-bool service_scheduler::impl::started_again(
+bool service_scheduler::impl::server_restarted(
     const running_request& ended) const {
     const auto at = table_.find(ended.backend_server);
     return at && is_of_former(ended.incarnation, table_.at(*at).incarnation());
@@ -364,7 +368,7 @@
 // Updates the estimates of the server and of the class with the result of an
 // attempt. An attempt on a slot leased from a peer has the reference 0, which
 // no other attempt has: the server's pace at its start is not known here.
-void service_scheduler::impl::learn(const attempt_end& ended) {
+void service_scheduler::impl::record_result(const finished_attempt& ended) {
     const auto at = table_.find(ended.backend_server);
     if (!at) {
         return;
@@ -380,7 +384,7 @@
         std::exp(-expected.log_factor)));
     const double relative =
         admission_.relative_log(ended.request_class, at_usual_pace);
-    expected.comparable = admission_.comparable(ended.request_class);
+    expected.comparable = admission_.baseline_known(ended.request_class);
     table_.learn(*at, expected, use.verdict, relative, now_);
     if (use.verdict != attempt_verdict::answered) {
         return;
--- a/src/decision/service_scheduler.cpp
+++ b/src/decision/service_scheduler.cpp
@@ -67,11 +67,11 @@
     : service_(std::move(service)),
       self_(std::move(self)),
       policy_(policy),
-      silent_(policy.ask_refresh),
+      unresponsive_owners_(policy.ask_refresh),
       table_(self_, policy),
-      queue_(policy.fairness_window, policy.any_priority_every),
-      late_(policy.fairness_window, policy.any_priority_every),
-      of_owners_(policy.fairness_window, policy.any_priority_every),
+      queue_(policy.fairness_window, policy.urgency_only_interval),
+      late_queue_(policy.fairness_window, policy.urgency_only_interval),
+      other_owners_queue_(policy.fairness_window, policy.urgency_only_interval),
       repeats_({}),
       admission_(policy),
       lender_(self_),
@@ -92,47 +92,47 @@
         // request, if overdue, would be refused to a caller that has gone.
         on(std::get<request_cancelled>(event));
     }
-    end_leases();
+    end_expired_leases();
     drop_overdue();
     if (!cancels) {
         std::visit([this](const auto& each) { on(each); }, event);
     }
-    settle();
+    after_event();
     actions_ = nullptr;
 }
 
 // Runs after every event: assigns free slots to queued requests, answers peers,
 // and then asks peers for slots.
-void service_scheduler::impl::settle() {
+void service_scheduler::impl::after_event() {
     dispatch();
     answer_peers();
-    look_for_silent();
-    borrow();
-    wake();
+    check_unresponsive_owners();
+    ask_lenders();
+    request_wake_up();
 }
 
-void service_scheduler::impl::wake() {
+void service_scheduler::impl::request_wake_up() {
     std::optional<time_point> next = lender_.next_expiry();
     const auto consider = [&](std::optional<time_point> when) {
         if (when && (!next || *when < *next)) {
             next = when;
         }
     };
-    consider(silent_.next_look());
+    consider(unresponsive_owners_.next_look());
     if (!queue_.empty()) {
-        consider(queue_.most_urgent());
+        consider(queue_.earliest_latest_start());
     }
-    if (!late_.empty()) {
-        consider(late_.most_urgent());
+    if (!late_queue_.empty()) {
+        consider(late_queue_.earliest_latest_start());
     }
     if (queued() > 0) {
         const auto change = table_.next_change(now_);
-        whole_look_at_ =
-            std::min(whole_look_at_, change.value_or(whole_look_at_));
+        next_full_scan_at_ =
+            std::min(next_full_scan_at_, change.value_or(next_full_scan_at_));
         consider(change);
         consider(borrower_.next_change());
         if (table_.any_idle(now_)) {
-            consider(whole_look_at_);
+            consider(next_full_scan_at_);
         }
     }
     const bool pending = wake_at_ && *wake_at_ > now_;
@@ -146,11 +146,11 @@
 void service_scheduler::impl::on(const view_changed& event) {
     const service* found =
         event.config ? find_service(*event.config, service_) : nullptr;
-    removed_ = event.config && found == nullptr;
-    if (removed_) {
+    service_removed_ = event.config && found == nullptr;
+    if (service_removed_) {
         // The state of its servers and the running requests are kept for a
         // later configuration that names the service again.
-        turn_down_all();
+        decline_all();
         return;
     }
     view_ = event;
@@ -160,13 +160,13 @@
     if (view_.config) {
         queue_.set_tenants(view_.config->tenants);
     }
-    silent_.look_at_once(now_);
+    unresponsive_owners_.look_at_once(now_);
     apply_reachability();
 }
 
 // An instance that owns no slots allows only its part of the extra repeats,
 // since it does not know how many the others allow.
-void service_scheduler::impl::limit_repeats() {
+void service_scheduler::impl::update_repeat_limits() {
     const service* configured =
         view_.config ? find_service(*view_.config, service_) : nullptr;
     if (configured == nullptr) {
@@ -193,33 +193,33 @@
 }
 
 void service_scheduler::impl::on(const time_passed& /*event*/) {
-    watch_silence();
+    detect_unresponsive_owners();
 }
 
 bool service_scheduler::impl::has_spare_slot() const {
-    const bool may_borrow = !decides() && borrower_.has_lenders();
+    const bool may_borrow = !has_usable_slots() && borrower_.has_lenders();
     return queue_.empty() && (may_borrow || table_.any_idle(now_));
 }
 
 scheduler_load service_scheduler::impl::load(time_point now) const {
     scheduler_load load;
-    load.owns = table_.owns_any();
+    load.owns_slots = table_.owns_any();
     load.queued = queue_.size();
-    load.late = late_.size();
+    load.queued_late = late_queue_.size();
     load.working_slots = table_.working_slots();
     load.prompt_slots = table_.prompt_slots(now);
     load.spare_slots = spare_slots();
     load.busy_slots = table_.busy_slots();
-    load.lent = lender_.given();
-    load.arrivals_per_second = offered_.arrivals_per_second(now);
-    load.turned_down = turned_down_;
+    load.lent_slots = lender_.given();
+    load.arrivals_per_second = offered_load_.arrivals_per_second(now);
+    load.refused = refused_;
     return load;
 }
 
 // Probes are worth their cost only while requests arrive.
 std::vector<std::string>
 service_scheduler::impl::unheard(time_point now) const {
-    const bool busy = offered_.arrivals_per_second(now) >= 1.0;
+    const bool busy = offered_load_.arrivals_per_second(now) >= 1.0;
     return busy ? table_.unheard(now) : std::vector<std::string>();
 }
 
--- a/src/decision/service_scheduler_impl.hpp
+++ b/src/decision/service_scheduler_impl.hpp
@@ -28,7 +28,7 @@
     void handle(const scheduler_event& event, time_point now,
                 std::vector<scheduler_action>& actions);
 
-    std::size_t queued() const { return queue_.size() + late_.size(); }
+    std::size_t queued() const { return queue_.size() + late_queue_.size(); }
     std::size_t in_flight() const { return running_.size(); }
     bool has_spare_slot() const;
     scheduler_load load(time_point now) const;
@@ -50,10 +50,10 @@
     };
 
     // The servers on which queued requests look for a slot; none: all servers.
-    using slot_choice = std::optional<std::vector<slot_table::index>>;
+    using candidate_servers = std::optional<std::vector<slot_table::index>>;
 
     // An attempt that ended, on this instance or on a peer that leased a slot.
-    struct attempt_end {
+    struct finished_attempt {
         std::string backend_server;
         std::string request_class;
         attempt_ref attempt = 0;
@@ -73,66 +73,67 @@
     void on(const time_passed& event);
 
     // scheduler_requests.cpp
-    bool refuse_at_once(const request_arrived& request);
+    bool refuse_if_impossible(const request_arrived& request);
     void admit(queued_request entry);
     void enqueue(queued_request entry);
     void enqueue_late(queued_request entry);
-    void place(const queued_request& entry, slot_table::index at);
+    void assign_slot(const queued_request& entry, slot_table::index at);
     void start(const queued_request& entry, slot_table::index at);
     duration slow_after(const queued_request& entry,
                         slot_table::index at) const;
-    void turn_down(const queued_request& entry, refusal_reason reason);
-    void turn_down_all();
+    void decline(const queued_request& entry, refusal_reason reason);
+    void decline_all();
     void refuse(request_id request, refusal_reason reason);
-    bool place_now(const queued_request& entry);
-    bool runs_stale(const request_arrived& request) const;
+    bool try_assign_slot(const queued_request& entry);
+    bool blocked_by_stale_view(const request_arrived& request) const;
     // Whether this instance may use slots of its own or a share of the slots of
     // other owners. If not, owners decide when the requests queued here start.
-    bool decides() const { return table_.has_slots(); }
+    bool has_usable_slots() const { return table_.has_slots(); }
     duration backlog() const;
     double spare_slots() const;
     double slots_for(const request_arrived& request) const;
-    duration next_appointment();
+    duration next_retry_delay();
     double tolerated_loss(const queued_request& entry) const;
     slot_wish wish_of(const queued_request& entry) const;
-    time_point in_time_until(const request_arrived& request) const;
+    time_point latest_start_within_target(const request_arrived& request) const;
     std::optional<work_forecast> forecast_of(const queued_request& entry) const;
-    bool started_again(const running_request& ended) const;
-    void learn(const attempt_end& ended);
+    bool server_restarted(const running_request& ended) const;
+    void record_result(const finished_attempt& ended);
 
     // scheduler_dispatch.cpp
     void drop_overdue();
     void drop_overdue_late();
     void dispatch();
-    void dispatch_from(request_queue& queue, const slot_choice& slots);
-    bool owners_are_more_urgent() const;
-    bool dispatch_one(request_queue& queue, const slot_choice& slots,
+    void dispatch_from(request_queue& queue, const candidate_servers& slots);
+    bool other_owners_are_more_urgent() const;
+    bool dispatch_one(request_queue& queue, const candidate_servers& slots,
                       std::vector<queued_request>& skipped);
 
     // scheduler_grants.cpp
     void admit_from_peer(const std::string& peer,
                          const waiting_request& waiting);
-    bool knows(const request_origin& origin) const;
+    bool is_queued(const request_origin& origin) const;
     void admit_from_owner(queued_request entry);
-    void keep_only(const std::string& peer, const std::set<request_id>& kept);
-    void forget(const request_origin& origin);
-    bool forgotten(const queued_request& entry) const;
+    void retain_queued(const std::string& peer,
+                       const std::set<request_id>& kept);
+    void remove_queued(const request_origin& origin);
+    bool confirmation_expired(const queued_request& entry) const;
     std::string data_centre_of(const std::string& peer) const;
     void grant(const queued_request& entry, slot_table::index at);
     void answer_peers();
     bool start_on_grant(const grant_received& grant);
-    std::optional<queued_request> take_for(const grant_received& grant);
+    std::optional<queued_request> take_request_for(const grant_received& grant);
     bool suits(const queued_request& entry, const grant_received& grant) const;
     void return_unused(const grant_received& grant);
-    void end_leases();
-    void borrow();
+    void end_expired_leases();
+    void ask_lenders();
     waiting_request describe(request_id request) const;
-    bool takes_part(const std::string& peer) const;
-    void hear(const std::string& peer);
-    void hear_of_owner(const std::string& peer);
+    bool is_owner_or_standby(const std::string& peer) const;
+    void note_message_from(const std::string& peer);
+    void note_owner_message_from(const std::string& peer);
     void apply_reachability();
-    void watch_silence();
-    void look_for_silent();
+    void detect_unresponsive_owners();
+    void check_unresponsive_owners();
 
     // The answer due to a peer at the end of the current event.
     struct peer_reply {
@@ -141,9 +142,9 @@
         std::vector<declined_request> declined;
     };
 
-    void limit_repeats();
-    void settle();
-    void wake();
+    void update_repeat_limits();
+    void after_event();
+    void request_wake_up();
 
     std::string service_;
     member_id self_;
@@ -151,20 +152,20 @@
     time_point now_{};
     action_list* actions_ = nullptr; // set while an event is handled
     view_changed view_; // the last one whose configuration names the service
-    bool removed_ = false; // the current configuration does not name it
+    bool service_removed_ = false; // the current configuration does not name it
     // Peers with a working link, and those of them that are owners but leave
     // requests for slots unanswered.
-    std::unordered_set<std::string> linked_;
-    silent_owners silent_;
+    std::unordered_set<std::string> linked_peers_;
+    silent_owners unresponsive_owners_;
     slot_table table_;
     // Requests that can still meet their target or deadline, and requests that
     // can only be answered after their target. The latter get the slots that
     // nothing else needs.
     request_queue queue_;
-    request_queue late_;
+    request_queue late_queue_;
     // Requests of other owners that have no free slots at the moment.
-    request_queue of_owners_;
-    offered_load offered_;
+    request_queue other_owners_queue_;
+    offered_load offered_load_;
     repeat_budget repeats_;
     admission admission_;
     grant_lender lender_;
@@ -174,8 +175,8 @@
     std::optional<time_point> wake_at_;
     // When queued requests consider all servers again, rather than only those
     // whose state has changed.
-    time_point whole_look_at_{};
-    std::uint64_t turned_down_ = 0;
+    time_point next_full_scan_at_{};
+    std::uint64_t refused_ = 0;
 };
 
 } // namespace waxwingvale::decision
--- a/src/entry/service_desk.cpp
+++ b/src/entry/service_desk.cpp
@@ -26,23 +26,23 @@
 
 void service_desk::log_load() {
     const auto load = scheduler_.load(timers_.now());
-    const auto turned_down = load.turned_down - turned_down_logged_;
-    turned_down_logged_ = load.turned_down;
-    if (turned_down == 0) {
+    const auto refused = load.refused - refused_logged_;
+    refused_logged_ = load.refused;
+    if (refused == 0) {
         return;
     }
     program::log_change(
         "requests_turned_down",
         {{"service", service_},
-         {"requests", std::to_string(turned_down)},
-         {"owns_slots", load.owns ? "yes" : "no"},
+         {"requests", std::to_string(refused)},
+         {"owns_slots", load.owns_slots ? "yes" : "no"},
          {"queued", std::to_string(load.queued)},
-         {"late", std::to_string(load.late)},
+         {"late", std::to_string(load.queued_late)},
          {"working_slots", std::to_string(load.working_slots)},
          {"prompt_slots", std::to_string(load.prompt_slots)},
          {"spare_slots", std::to_string(load.spare_slots)},
          {"busy_slots", std::to_string(load.busy_slots)},
-         {"lent", std::to_string(load.lent)},
+         {"lent", std::to_string(load.lent_slots)},
          {"arrivals_per_second", std::to_string(load.arrivals_per_second)}});
 }
 
--- a/src/entry/service_desk.hpp
+++ b/src/entry/service_desk.hpp
@@ -46,7 +46,7 @@
     kernel::timer_service& timers_;
     scheduler_outlet& outlet_;
     decision::service_scheduler scheduler_;
-    std::uint64_t turned_down_logged_ = 0;
+    std::uint64_t refused_logged_ = 0;
     kernel::timer_service::subscription wake_;
 };
 
--- a/test/retries/retry_policy_test.cpp
+++ b/test/retries/retry_policy_test.cpp
@@ -96,7 +96,7 @@
     facts.refused_before_start = true;
     REQUIRE(outcome_of_attempt(facts) == run_outcome::not_run);
     facts.refused_before_start = false;
-    facts.whole_answer = true;
+    facts.answer_complete = true;
     REQUIRE(outcome_of_attempt(facts) == run_outcome::ran);
 }
 
--- a/test/scheduling/comparison_test.cpp
+++ b/test/scheduling/comparison_test.cpp
@@ -21,8 +21,10 @@
 TEST_CASE("several owners perform nearly as well as one ideal queue") {
     const run_figures waxwing =
         run("bramblewood", "steady-70", unhedged_policy_name);
-    const run_figures ideal_queue = run("bramblewood", "steady-70", "ideal-queue");
-    const run_figures least_in_flight = run("bramblewood", "steady-70", "least-in-flight");
+    const run_figures ideal_queue =
+        run("bramblewood", "steady-70", "ideal-queue");
+    const run_figures least_in_flight =
+        run("bramblewood", "steady-70", "least-in-flight");
     CHECK(waxwing.p99_ms < 1.1 * ideal_queue.p99_ms);
     CHECK(waxwing.p50_ms < 1.1 * ideal_queue.p50_ms);
     CHECK(least_in_flight.p50_ms > 1.2 * waxwing.p50_ms);
@@ -72,7 +74,8 @@
     // more misses its target.
     for (const char* user : {"cooperative-shared", "bramblewood-shared"}) {
         const run_figures waxwing = run(user, "steady-70", waxwing_policy_name);
-        const run_figures least_in_flight = run(user, "steady-70", "least-in-flight");
+        const run_figures least_in_flight =
+            run(user, "steady-70", "least-in-flight");
         INFO(user);
         CHECK(waxwing.in_time > 0.97);
         CHECK(least_in_flight.in_time < 0.85);
@@ -89,7 +92,8 @@
         const workload load =
             make_workload("surge-3x", size, 1, duration(6000000));
         const run_figures waxwing = run_one(load, waxwing_policy_name, {});
-        const run_figures least_in_flight = run_one(load, "least-in-flight", {});
+        const run_figures least_in_flight =
+            run_one(load, "least-in-flight", {});
         INFO(user);
         CHECK(waxwing.in_time > 0.35);
         CHECK(least_in_flight.in_time < 0.05);
@@ -104,7 +108,8 @@
     for (const char* scenario : {"steady-85", "rush", "surge-3x"}) {
         const run_figures waxwing =
             run("mixed-shared", scenario, waxwing_policy_name);
-        const run_figures clairvoyant = run("mixed-shared", scenario, "clairvoyant");
+        const run_figures clairvoyant =
+            run("mixed-shared", scenario, "clairvoyant");
         CHECK(clairvoyant.worth >= waxwing.worth);
         CHECK(clairvoyant.worth <= 1);
     }
--- a/test/scheduling/removed_service_test.cpp
+++ b/test/scheduling/removed_service_test.cpp
@@ -26,7 +26,7 @@
     f.arrive(1);
     f.arrive(2);
     REQUIRE(f.scheduler().queued() == 1);
-    take_away(f);
+    remove_service(f);
     REQUIRE(f.all<refuse_request>().size() == 1);
     CHECK(f.all<refuse_request>()[0].request == 2);
     CHECK(f.all<refuse_request>()[0].reason ==
@@ -41,7 +41,7 @@
     f.link_peer();
     f.arrive(1);
     REQUIRE(f.all<refuse_request>().empty());
-    take_away(f);
+    remove_service(f);
     REQUIRE(f.all<refuse_request>().size() == 1);
     CHECK(f.all<refuse_request>()[0].request == 1);
     CHECK(f.scheduler().queued() == 0);
--- a/test/scheduling/unchanged_view_test.cpp
+++ b/test/scheduling/unchanged_view_test.cpp
@@ -26,8 +26,8 @@
     }
 
     void step() {
-        // At least scheduling_policy::recheck, so that queued requests consider
-        // all slots again even without a new view.
+        // At least scheduling_policy::recheck_interval, so that queued requests
+        // consider all slots again even without a new view.
         reference_.now += duration(10000 + below(30000));
         repeated_.now = reference_.now;
         answer_asks();
@@ -43,8 +43,8 @@
         } else if (kind == 8) {
             peer_returns();
         } else {
-            send_both(probe_ended{random_server(), below(5) != 0,
-                                  random_load()});
+            send_both(
+                probe_ended{random_server(), below(5) != 0, random_load()});
         }
     }
 
