--- a/include/waxwingvale/membership/exchange_message.hpp
+++ b/include/waxwingvale/membership/exchange_message.hpp
@@ -49,7 +49,7 @@
     std::uint64_t revision = 0; // configuration in force
     std::uint64_t refused = 0;  // revision of a newer file refused there, or 0
     table_fingerprints tables;
-    listening subscription = listening::none;
+    subscription_change subscription = subscription_change::none;
 };
 
 // Requests the records of the buckets whose hashes differ, for each table that
--- a/include/waxwingvale/membership/peer_exchange.hpp
+++ b/include/waxwingvale/membership/peer_exchange.hpp
@@ -170,8 +170,8 @@
                              const platform_status& message, time_point now);
     void merge_records(const std::string& peer, const records_message& message,
                        time_point now);
-    bool handle_subscription(const std::string& peer, listening change,
-                             time_point now);
+    bool handle_subscription(const std::string& peer,
+                             subscription_change change, time_point now);
     void decline(const std::string& peer);
     void send_referrals(const std::string& peer);
     void handle_query_answer(const std::string& peer, std::uint64_t epoch,
@@ -188,7 +188,7 @@
     digest_message own_digest() const;
     void send_digest(const std::string& peer, std::uint64_t asks,
                      std::uint64_t answers,
-                     listening listens = listening::none);
+                     subscription_change listens = subscription_change::none);
     void send(const std::string& peer, exchange_message message);
     void send_to_all(const std::set<std::string>& peers,
                      exchange_message message);
--- a/src/io/exchange_codec.cpp
+++ b/src/io/exchange_codec.cpp
@@ -16,7 +16,6 @@
 using membership::digest_buckets;
 using membership::digest_message;
 using membership::exchange_message;
-using membership::listening;
 using membership::member_record;
 using membership::platform_status;
 using membership::quarantine_record;
@@ -24,6 +23,7 @@
 using membership::records_request;
 using membership::registry_record;
 using membership::revision_message;
+using membership::subscription_change;
 using nlohmann::json;
 
 constexpr const char* decode_step = "decode peer's message";
@@ -193,7 +193,7 @@
     if (value.refused != 0) {
         object["x"] = value.refused;
     }
-    if (value.subscription != listening::none) {
+    if (value.subscription != subscription_change::none) {
         object["l"] = static_cast<unsigned>(value.subscription);
     }
     return object;
@@ -263,7 +263,7 @@
     value.tables.quarantine = read_number<std::uint64_t>(from.at("q"));
     const auto listens = from.find("l");
     if (listens != from.end()) {
-        value.subscription = read_enum(*listens, listening::declined);
+        value.subscription = read_enum(*listens, subscription_change::declined);
     }
     return value;
 }
--- a/src/membership/peer_exchange.cpp
+++ b/src/membership/peer_exchange.cpp
@@ -124,7 +124,8 @@
         return;
     }
     if (tree_.upstream() == peer) {
-        send_digest(peer, query_epoch_for(peer), 0, listening::subscribe);
+        send_digest(peer, query_epoch_for(peer), 0,
+                    subscription_change::subscribe);
     } else {
         initial_digest_at_[peer] = now;
     }
@@ -133,9 +134,10 @@
 void peer_exchange::choose_upstream(time_point now) {
     for (const auto& change : tree_.choose_upstream(state_.members, now)) {
         ++counters_.upstream_changes;
-        send_digest(
-            change.peer, change.subscribe ? query_epoch_for(change.peer) : 0, 0,
-            change.subscribe ? listening::subscribe : listening::unsubscribe);
+        send_digest(change.peer,
+                    change.subscribe ? query_epoch_for(change.peer) : 0, 0,
+                    change.subscribe ? subscription_change::subscribe
+                                     : subscription_change::unsubscribe);
     }
 }
 
@@ -149,7 +151,7 @@
     if (!handle_subscription(peer, message.subscription, now)) {
         return;
     }
-    const bool starts = message.subscription == listening::subscribe;
+    const bool starts = message.subscription == subscription_change::subscribe;
     const bool same = message.tables == fingerprints_of(state_);
     counters_.digests_differed += same ? 0 : 1;
     introduced_ = introduced_ || same;
@@ -172,21 +174,22 @@
 // Returns false if this instance declines the peer as a subscriber, or the peer
 // declines us; the tables are then not compared with this peer.
 bool peer_exchange::handle_subscription(const std::string& peer,
-                                        listening change, time_point now) {
+                                        subscription_change change,
+                                        time_point now) {
     switch (change) {
-    case listening::none:
+    case subscription_change::none:
         return true;
-    case listening::subscribe:
+    case subscription_change::subscribe:
         platform_time_of_peer_.erase(peer);
         if (!tree_.add_subscriber(peer)) {
             decline(peer);
             return false;
         }
         return true;
-    case listening::unsubscribe:
+    case subscription_change::unsubscribe:
         tree_.remove_subscriber(peer);
         return true;
-    case listening::declined:
+    case subscription_change::declined:
         tree_.handle_declined(peer, now);
         choose_upstream(now);
         return false;
@@ -200,7 +203,7 @@
     if (!is_member(peer)) {
         send_referrals(peer);
     }
-    send_digest(peer, 0, 0, listening::declined);
+    send_digest(peer, 0, 0, subscription_change::declined);
 }
 
 // Central instances come first, since they can serve the most subscribers.
--- a/src/membership/peer_exchange_sending.cpp
+++ b/src/membership/peer_exchange_sending.cpp
@@ -80,7 +80,8 @@
 }
 
 void peer_exchange::send_digest(const std::string& peer, std::uint64_t asks,
-                                std::uint64_t answers, listening listens) {
+                                std::uint64_t answers,
+                                subscription_change listens) {
     auto digest = own_digest();
     digest.query_epoch = asks;
     digest.answered_epoch = answers;
