--- a/src/membership/configuration_exchange.cpp
+++ b/src/membership/configuration_exchange.cpp
@@ -54,9 +54,10 @@
 
 bool configuration_exchange::lacks_any() const {
     return lacks(newest_announcement_) ||
-           std::any_of(
-               announcements_.begin(), announcements_.end(),
-               [this](const auto& each) { return lacks(each.second.theirs); });
+           std::any_of(announcements_.begin(), announcements_.end(),
+                       [this](const auto& each) {
+                           return lacks(each.second.announced);
+                       });
 }
 
 // A newer announcement changes which file is requested, but never delays the
